--- a/chutelink/watching/__init__.py
+++ b/chutelink/watching/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of the store that daemons follow together."""
+"""Replication of the store's tables to the daemons."""
--- a/chutelink/watching/followed.py
+++ b/chutelink/watching/followed.py
@@ -1,4 +1,4 @@
-"""A table of the store as a daemon follows it, and the changes that it tells of."""
+"""State of a table that a daemon replicates from the store, and its row changes."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from .tablecopy import TableCopy
 
 OWN_READ = "own_read"
-"""Source of what this daemon has read by itself; else it is a peer."""
+"""Source of changes that this daemon read from the store itself, not from a peer."""
 
 
 class RowChange(msgspec.Struct, frozen=True):
-    """A row that has changed, and how this daemon came to know of it.
+    """A changed row, and where this daemon learned of the change.
 
-    ``value`` is None for a row that was removed; ``source`` is ``OWN_READ`` or the
-    peer that told; ``age_s`` is how old what was read is taken to be. A row that
-    was removed may be back until ``back_until_s``, on this daemon's clock.
-    ``is_restored`` says that the store has come back from a copy: what it shows may be
-    of before the row as it was known, and no change that anybody made.
+    ``value`` is None for a removed row; ``source`` is ``OWN_READ`` or the ID of the
+    peer that sent the change; ``age_s`` is the upper bound of the age of the read.
+    A removed row may be registered again until ``back_until_s``, on this daemon's
+    clock. ``is_restored`` is set if the store was restored from a backup: the row may
+    then be older than the known one, and nobody may have made this change.
     """
 
     key: str
@@ -33,28 +33,29 @@
 
 
 class Knowledge(msgspec.Struct, frozen=True):
-    """How recent the copy of a table is, for logs of what was decided by it."""
+    """Version and age of a table's copy, for logs of the decisions made with it."""
 
     version: int
     age_s: float
 
 
-class Followed:
-    """A table that is followed: its copy, and when it was read and told.
+class TableState:
+    """A replicated table: its copy, and the times of its reads and answers.
 
-    ``bound_s`` is how soon a change must be known everywhere;
-    ``heard_s`` and ``returned_s`` are times of the store's clock: of the latest answer
-    that this daemon knows of, and of the first one after an outage; ``heard_era`` is
-    the era of that latest answer. A copy is behind when others told of changes that
-    continue from what it does not have.
+    ``staleness_bound_s`` is the time within which every daemon must know a change.
+    ``latest_answer_s`` and ``recovered_s`` are times of the store's clock: of the
+    latest answer that this daemon knows of, its own or a peer's, and of the first one
+    after an outage. ``latest_era`` is the era of the latest answer. ``has_gap`` is set
+    when an update from a peer could not be applied because the copy lacks changes
+    that precede it.
     """
 
-    def __init__(self, name: str, bound_s: float) -> None:
+    def __init__(self, name: str, staleness_bound_s: float) -> None:
         self.copy = TableCopy(name)
-        self.bound_s = bound_s
-        self.started_s = float("-inf")
-        self.heard_s: float | None = None
-        self.heard_era = NO_ERA
-        self.returned_s = float("-inf")
-        self.is_behind = False
+        self.staleness_bound_s = staleness_bound_s
+        self.call_started_s = float("-inf")
+        self.latest_answer_s: float | None = None
+        self.latest_era = NO_ERA
+        self.recovered_s = float("-inf")
+        self.has_gap = False
         self.snapshot_sent_s = float("-inf")
--- a/chutelink/watching/storeclock.py
+++ b/chutelink/watching/storeclock.py
@@ -1,49 +1,55 @@
-"""How old what was read of the store is, by the store's own clock. Pure.
+"""Age of data read from the store, measured by the store's clock. Does no I/O.
 
-Every answer of the store says what its steady clock showed. What was read is as old as
-that, whoever read it and however long the answer or the news of it took to arrive.
+Every answer of the store carries the time of its monotonic clock. The age of the data
+is counted from that time, whichever daemon read it and however long the answer, or a
+peer's update, took to arrive.
 """
 
 from __future__ import annotations
 
 import math
 
-DRIFT = 500e-6
-"""How much two steady clocks may run apart, as a share of the time that passes.
+MAX_DRIFT = 500e-6
+"""Maximum drift between two monotonic clocks, as a share of elapsed time.
 
-The most by which time services slew a clock.
+Time synchronization services slew a clock by at most this rate.
 """
 
 
 class StoreClock:
-    """Bounds the store's clock by the answers to this daemon's own calls.
+    """Estimates the offset of the store's clock from this daemon's own calls.
 
-    The store's clock less the own one lies between what an answer showed less the time
-    when it arrived, and the same less the time when its call was sent.
+    The offset (store time minus local time) is at least the time in an answer minus
+    the local time of its arrival, and at most the time in the answer minus the local
+    time at which the call was sent.
     """
 
     def __init__(self) -> None:
-        self._least_offset_s = -math.inf
-        self._most_offset_s = math.inf
-        self._noted_s = 0.0
-
-    def note(self, sent_s: float, received_s: float, answered_s: float) -> None:
-        """Take in what the store's clock showed in answer to a call."""
-        apart_s = DRIFT * (received_s - sent_s)
-        least_s = answered_s - received_s - apart_s
-        most_s = answered_s - sent_s + apart_s
-        drift_s = DRIFT * max(0.0, received_s - self._noted_s)
-        self._noted_s = received_s
-        before_least_s = self._least_offset_s - drift_s
-        before_most_s = self._most_offset_s + drift_s
-        is_another_clock = least_s > before_most_s or most_s < before_least_s
-        if is_another_clock:
-            self._least_offset_s, self._most_offset_s = least_s, most_s
+        self._min_offset_s = -math.inf
+        self._max_offset_s = math.inf
+        self._last_sample_s = 0.0
+
+    def add_sample(self, sent_s: float, received_s: float, answered_s: float) -> None:
+        """Narrow the bounds of the offset with the store's time in an answer.
+
+        If the bounds contradict the earlier ones, the store's clock was replaced, and
+        the earlier ones are dropped.
+        """
+        call_drift_s = MAX_DRIFT * (received_s - sent_s)
+        min_s = answered_s - received_s - call_drift_s
+        max_s = answered_s - sent_s + call_drift_s
+        drift_s = MAX_DRIFT * max(0.0, received_s - self._last_sample_s)
+        self._last_sample_s = received_s
+        previous_min_s = self._min_offset_s - drift_s
+        previous_max_s = self._max_offset_s + drift_s
+        is_clock_replaced = min_s > previous_max_s or max_s < previous_min_s
+        if is_clock_replaced:
+            self._min_offset_s, self._max_offset_s = min_s, max_s
             return
-        self._least_offset_s = max(before_least_s, least_s)
-        self._most_offset_s = min(before_most_s, most_s)
+        self._min_offset_s = max(previous_min_s, min_s)
+        self._max_offset_s = min(previous_max_s, max_s)
 
-    def age_s(self, answered_s: float, now_s: float) -> float:
-        """Return how old an answer is at most; infinite before the first own call."""
-        drift_s = DRIFT * max(0.0, now_s - self._noted_s)
-        return max(0.0, now_s + self._most_offset_s + drift_s - answered_s)
+    def max_age_s(self, answered_s: float, now_s: float) -> float:
+        """Return the maximum age of an answer; infinite before the first sample."""
+        drift_s = MAX_DRIFT * max(0.0, now_s - self._last_sample_s)
+        return max(0.0, now_s + self._max_offset_s + drift_s - answered_s)
--- a/chutelink/watching/tablecopy.py
+++ b/chutelink/watching/tablecopy.py
@@ -1,12 +1,12 @@
-"""A daemon's copy of one of the store's tables. Pure.
+"""A daemon's copy of one of the store's tables. Does no I/O.
 
-A copy at version V holds what the table held at V. A read has every change after the
-version that it began from, in order. What others are told of it leaves out the rows
-that meant the same all the while, so that it fits every copy of a version in between.
+A copy at version V holds what the table held at V. A read contains every change after
+its base version, in order. The update sent to other daemons omits rows whose value
+never changed, and applies to a copy of any version between base and end of the read.
 
-A store that comes back older begins another era, in which it gives out versions again.
-Versions of two eras are never compared: a copy goes on to a later era with the whole
-table alone.
+A store that is restored from a backup begins a new era, in which it assigns version
+numbers again. Versions of two eras are never compared: only a full table moves a copy
+to a later era.
 """
 
 from __future__ import annotations
@@ -19,34 +19,35 @@
 from ..ids import NO_ERA
 
 
-class NewsFit(Enum):
-    """Whether a copy may take the version of news."""
+class UpdateStatus(Enum):
+    """Whether an update can be applied to a copy."""
 
-    FITS = "fits"
-    OLD = "old"
-    """The copy is of a later version, or of a later era."""
+    APPLICABLE = "fits"
+    OUTDATED = "old"
+    """The copy has a later version, or is of a later era."""
     GAP = "gap"
-    """Changes between the copy and the news are not known."""
+    """Changes between the copy and the update are missing."""
 
 
 class TableCopy:
-    """The rows of one table, as of one version.
+    """The rows of one table at one version.
 
     Parameters
     ----------
     name : str
-        The table.
+        Name of the table.
 
     Attributes
     ----------
     era : StoreEra
-        The era of the store that ``version`` is of.
+        The era of the store to which ``version`` belongs.
     version : int
-        What is known is complete up to here; 0 before the first read.
+        The copy contains all changes up to this version; 0 before the first read.
     answered_s : float
-        What the store's clock showed when this version was the newest one.
+        Latest time, on the store's clock, at which this version was known to be the
+        newest one.
     rows : dict
-        By key.
+        Rows by key.
     """
 
     def __init__(self, name: str) -> None:
@@ -56,39 +57,42 @@
         self.answered_s = float("-inf")
         self.rows: dict[str, StoredRow] = {}
 
-    def take_read(self, read: StoreNews) -> list[StoredRow]:
-        """Take in an own read with all rows that it covers; return those that changed.
+    def apply_read(self, read: StoreNews) -> list[StoredRow]:
+        """Apply a read by this daemon, and return the rows that changed.
 
-        News that arrived meanwhile may be of a later version; then nothing is taken.
+        Nothing is applied if an update of a later version arrived during the read.
         """
-        return self.take_news(read)
+        return self.apply(read)
 
-    def take_news(self, news: StoreNews) -> list[StoredRow]:
-        """Take in what another daemon read; return the rows that changed."""
-        if self.fit(news) is not NewsFit.FITS:
+    def apply(self, update: StoreNews) -> list[StoredRow]:
+        """Apply an update if it is applicable, and return the rows that changed."""
+        if self.status_of(update) is not UpdateStatus.APPLICABLE:
             return []
-        changed = self._put(news)
-        self._advance(news)
+        changed = self._apply_rows(update)
+        self._advance(update)
         return changed
 
-    def fit(self, news: StoreNews) -> NewsFit:
-        """Return whether this copy may take the version of news."""
-        if (news.era, news.version) < (self.era, self.version):
-            return NewsFit.OLD
-        if news.era > self.era:
-            return NewsFit.FITS if news.is_whole else NewsFit.GAP
-        if news.is_whole or news.version == self.version:
-            return NewsFit.FITS
-        return NewsFit.GAP if news.after > self.version else NewsFit.FITS
-
-    def make_news(self, read: StoreNews, before: dict[str, StoredRow]) -> StoreNews:
-        """Return what to tell others of an own read that was taken in.
-
-        ``before`` are the rows as they were when the read began. A row that changed
-        there and back is told too: a copy of a version in between has the other state.
+    def status_of(self, update: StoreNews) -> UpdateStatus:
+        """Return whether an update can be applied to this copy."""
+        if (update.era, update.version) < (self.era, self.version):
+            return UpdateStatus.OUTDATED
+        if update.era > self.era:
+            return UpdateStatus.APPLICABLE if update.is_whole else UpdateStatus.GAP
+        if update.is_whole or update.version == self.version:
+            return UpdateStatus.APPLICABLE
+        return (
+            UpdateStatus.GAP if update.after > self.version else UpdateStatus.APPLICABLE
+        )
+
+    def make_update(self, read: StoreNews, before: dict[str, StoredRow]) -> StoreNews:
+        """Return the update for other daemons from a read that was applied.
+
+        ``before`` holds the rows as they were when the read began. A row that changed
+        and changed back is included, since a copy of a version in between still has
+        the other value.
         """
         if read.is_whole:
-            return self.as_news()
+            return self.to_snapshot()
         values = {key: row.value for key, row in before.items()}
         changed: dict[str, StoredRow] = {}
         for row in read.rows:
@@ -97,17 +101,17 @@
             values[row.key] = row.value
         return msgspec.structs.replace(read, rows=list(changed.values()))
 
-    def as_news(self) -> StoreNews:
-        """Return the whole table."""
+    def to_snapshot(self) -> StoreNews:
+        """Return an update that contains the full table."""
         rows = list(self.rows.values())
         return StoreNews(self.name, 0, self.version, self.answered_s, rows, self.era)
 
-    def _put(self, news: StoreNews) -> list[StoredRow]:
-        # A read has every change in order; of a row that changed twice the last counts.
-        latest = {row.key: row for row in news.rows}
+    def _apply_rows(self, update: StoreNews) -> list[StoredRow]:
+        # A read has every change in order: the last change of a row counts.
+        latest = {row.key: row for row in update.rows}
         changed = [row for row in latest.values() if self._is_changed(row)]
-        if news.is_whole:
-            changed += self._missing(news)
+        if update.is_whole:
+            changed += self._removed_rows(update)
         for row in changed:
             if row.value is None:
                 del self.rows[row.key]
@@ -116,27 +120,27 @@
         return changed
 
     def _is_changed(self, row: StoredRow) -> bool:
-        """Return whether a row means something else than the known one.
+        """Return whether a row's value differs from the known one.
 
-        Whatever is taken is of no earlier version than the copy, or of a later era.
-        The row's own version does not tell: it stays when the row is written anew with
-        the same meaning.
+        An update is applied only if it has no lower version than the copy or is of a
+        later era, so the row's own version is not compared. That can be lower than the
+        known one, as a copy keeps the version of a row rewritten with an equal value.
         """
         known = self.rows.get(row.key)
         if known is None:
             return row.value is not None
         return row.value != known.value
 
-    def _missing(self, news: StoreNews) -> list[StoredRow]:
-        present = {row.key for row in news.rows}
+    def _removed_rows(self, update: StoreNews) -> list[StoredRow]:
+        present = {row.key for row in update.rows}
         return [
-            StoredRow(key, news.version, None) for key in self.rows.keys() - present
+            StoredRow(key, update.version, None) for key in self.rows.keys() - present
         ]
 
-    def _advance(self, news: StoreNews) -> None:
-        if news.era > self.era:
-            # The store's clock may have begun anew too.
-            self.answered_s = news.answered_s
-        self.era = news.era
-        self.version = news.version
-        self.answered_s = max(self.answered_s, news.answered_s)
+    def _advance(self, update: StoreNews) -> None:
+        if update.era > self.era:
+            # The store's clock may have been reset too.
+            self.answered_s = update.answered_s
+        self.era = update.era
+        self.version = update.version
+        self.answered_s = max(self.answered_s, update.answered_s)
--- a/chutelink/watching/timing.py
+++ b/chutelink/watching/timing.py
@@ -1,7 +1,8 @@
-"""When daemons read the store, and how the times of one bound add up.
+"""Timing of store reads, derived from the staleness bound.
 
-A change must be known everywhere within a bound. Daemons read in turn, calls have a
-time limit and are tried twice, and pauses follow on failures: all of it has to fit.
+Every daemon must know a change within the staleness bound. Backup readers start in
+order of rank, calls have a timeout and are sent twice, and a pause follows a failed
+call: all of this has to fit into the bound.
 """
 
 from __future__ import annotations
@@ -12,55 +13,58 @@
 from ..settings import PlatformSection
 from ..store.http import SECOND_TRY_SHARE
 
-FIRST_SHARE = 0.35
-"""Age at which the second in rank reads for itself, as a share of the bound."""
-RANK_SHARE = 0.04
-"""How much later each further one reads, as a share of the bound.
+FIRST_BACKUP_SHARE = 0.35
+"""Age of a copy at which rank 1 reads the store itself, as a share of the bound."""
+RANK_DELAY_SHARE = 0.04
+"""Additional delay of each further rank, as a share of the bound.
 
-All shares keep the last in rank within the bound though its first try is not answered
-and the second one slowly, or its first call fails; ``longest_timeout_s`` adds them up.
+The shares keep the last rank within the bound even if the first attempt of its call
+gets no answer and the second a slow one, or if its first call fails. See
+``max_timeout_s`` for the sum.
 """
-MAX_RANK = 4
-"""Those behind it read together with the one in this place behind the second."""
-WAIT_SHARE = 0.25
-"""How long the first in rank lets the store hold a call, as a share of the bound."""
-MIN_PERIOD_SHARE = 0.2
-"""Shortest time between two calls, as a share of the bound."""
-RETRY_S = 0.25
-"""Shortest pause after a failed call."""
-RETRY_SPREAD = 1.5
-"""Longest pause after a failed call, over the shortest."""
-RETURN_S = 2.0
-"""Endpoints whose rows vanished in an outage, and that live, are back so soon after it.
+MAX_RANK_STEPS = 4
+"""Number of delay steps after rank 1; higher ranks read together at the last step."""
+LONG_POLL_SHARE = 0.25
+"""Wait time of rank 0's long polls, as a share of the bound."""
+MIN_INTERVAL_SHARE = 0.2
+"""Minimum interval between the starts of two calls, as a share of the bound."""
+MIN_RETRY_PAUSE_S = 0.25
+"""Minimum pause after a failed call."""
+RETRY_JITTER = 1.5
+"""Ratio of the maximum to the minimum pause after a failed call."""
+REREGISTRATION_S = 2.0
+"""Time after an outage within which live endpoints whose rows lapsed register again.
 
-The operators' rule for the store; what is not back by then is gone.
+Set by the operators' rule for the store: endpoints not registered by then are gone.
 """
 SLOW_ANSWER_S = 0.5
-"""What a slow store takes; most answers take some 10 ms."""
+"""Response time of a slow store; most answers take about 10 ms."""
 QUICK_ANSWER_S = 0.1
 MIN_TIMEOUT_S = 0.1
 
 
-def longest_timeout_s(bound_s: float) -> float:
-    """Return the longest time limit of a call that fits a bound.
+def max_timeout_s(staleness_bound_s: float) -> float:
+    """Return the longest call timeout that is compatible with a staleness bound.
 
-    With it the last in rank still knows of a change within the bound though its first
-    try is not answered and the second one slowly, or its first call fails.
+    With it the last rank still learns of a change within the bound if the first attempt
+    of its call gets no answer and the second a slow one, or if its first call fails.
     """
-    last_rank_s = (FIRST_SHARE + MAX_RANK * RANK_SHARE) * bound_s
-    after_slow_s = bound_s - last_rank_s - SLOW_ANSWER_S
-    pause_s = RETRY_S * RETRY_SPREAD
-    after_failed_s = bound_s - last_rank_s - pause_s - QUICK_ANSWER_S
-    fitting_s = min(after_slow_s, after_failed_s) / SECOND_TRY_SHARE
-    return max(MIN_TIMEOUT_S, fitting_s)
+    last_rank_s = (
+        FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
+    ) * staleness_bound_s
+    after_slow_s = staleness_bound_s - last_rank_s - SLOW_ANSWER_S
+    pause_s = MIN_RETRY_PAUSE_S * RETRY_JITTER
+    after_failed_s = staleness_bound_s - last_rank_s - pause_s - QUICK_ANSWER_S
+    longest_s = min(after_slow_s, after_failed_s) / SECOND_TRY_SHARE
+    return max(MIN_TIMEOUT_S, longest_s)
 
 
 def fit_time_limit(
-    core: Application, platform: PlatformSection, bound_s: float
+    core: Application, platform: PlatformSection, staleness_bound_s: float
 ) -> PlatformSection:
-    """Return the platform's settings, with a time limit that fits the bound."""
-    fitting_s = longest_timeout_s(bound_s)
-    if platform.timeout_s <= fitting_s:
+    """Return the platform's settings with the call timeout capped to fit the bound."""
+    longest_s = max_timeout_s(staleness_bound_s)
+    if platform.timeout_s <= longest_s:
         return platform
-    core.events.warning("timeout_shortened", set_s=platform.timeout_s, used_s=fitting_s)
-    return msgspec.structs.replace(platform, timeout_s=fitting_s)
+    core.events.warning("timeout_shortened", set_s=platform.timeout_s, used_s=longest_s)
+    return msgspec.structs.replace(platform, timeout_s=longest_s)
--- a/chutelink/watching/watch.py
+++ b/chutelink/watching/watch.py
@@ -1,8 +1,9 @@
-"""Follow tables of the store together with the other daemons.
+"""Replicate tables of the store in cooperation with the other daemons.
 
-Whoever reads changes tells the others, and each daemon reads by itself only when
-what it knows has grown older than a bound that rises with its rank. So one daemon
-reads for all without an election, and one that hears nothing reads for itself.
+A daemon that reads changes sends them to the others. Each daemon reads the store itself
+only when its copy is older than a threshold that rises with its rank. So one daemon
+reads for all without an election, and a daemon that receives no updates reads for
+itself.
 """
 
 from __future__ import annotations
@@ -18,48 +19,51 @@
 from ..exceptions import HistoryLost, PlatformUnavailable
 from ..ids import DaemonId, StoreEra
 from ..store import Row, RowPage, WatchedTable
-from .followed import OWN_READ, Followed, Knowledge, RowChange
-from .probing import ProbePacer
+from .followed import OWN_READ, Knowledge, RowChange, TableState
+from .probing import ProbeBackoff
 from .storeclock import StoreClock
-from .tablecopy import NewsFit
+from .tablecopy import UpdateStatus
 from .timing import (
-    FIRST_SHARE,
-    MAX_RANK,
-    MIN_PERIOD_SHARE,
-    RANK_SHARE,
-    RETURN_S,
-    WAIT_SHARE,
+    FIRST_BACKUP_SHARE,
+    LONG_POLL_SHARE,
+    MAX_RANK_STEPS,
+    MIN_INTERVAL_SHARE,
+    RANK_DELAY_SHARE,
+    REREGISTRATION_S,
 )
 
-SNAPSHOT_PAUSE_S = 0.5
-SLOW_CALL_S = 0.3
-"""Calls that take so much longer than asked for are logged; most take some 10 ms."""
+MIN_SNAPSHOT_INTERVAL_S = 0.5
+SLOW_CALL_EXCESS_S = 0.3
+"""Calls that exceed their long-poll wait by this much are logged.
+
+Most take about 10 ms.
+"""
 
 
 class StoreWatch(Service):
-    """Keeps a copy of some tables and calls back with their changes.
+    """Keeps copies of tables up to date and reports changed rows to callbacks.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the service.
     table : WatchedTable
-        Where the tables are.
-    bounds_s : dict
-        The tables to follow, each with how soon a change must be known everywhere.
+        Client of the store.
+    staleness_bounds_s : dict
+        Tables to replicate, and the time within which every daemon must know a change.
     rank : callable
-        This daemon's place among the live ones, 0 for the first.
+        Returns this daemon's rank among the live ones, from 0.
     send : callable
-        Tells the other daemons.
+        Sends a message to the other daemons.
     outage_s : float, default=0.0
-        The shortest outage of the store in which registrations of live endpoints lapse.
+        Shortest outage of the store in which registrations of live endpoints can lapse.
     """
 
     def __init__(
         self,
         core: Application,
         table: WatchedTable,
-        bounds_s: dict[str, float],
+        staleness_bounds_s: dict[str, float],
         rank: Callable[[], int],
         send: Callable[[StoreNews | SnapshotRequest], None],
         outage_s: float = 0.0,
@@ -70,90 +74,95 @@
         self._rank = rank
         self._send = send
         self._tables = {
-            name: Followed(name, bound_s) for name, bound_s in bounds_s.items()
+            name: TableState(name, staleness_bound_s)
+            for name, staleness_bound_s in staleness_bounds_s.items()
         }
         self._outage_s = outage_s
-        self._clock = StoreClock()
-        self._is_away = False
-        self._pacer = ProbePacer(min(bounds_s.values()), core.rng)
-        self._probe = asyncio.Lock()
-        """Held by the read of one table for all, as long as the store is away."""
+        self._store_clock = StoreClock()
+        self._is_store_down = False
+        self._backoff = ProbeBackoff(min(staleness_bounds_s.values()), core.rng)
+        self._probe_lock = asyncio.Lock()
+        """Held during a probe: one table at a time is read while the store is down."""
         self.on_row: Callable[[RowChange], None] = lambda change: None
         self.on_restored: Callable[[str, set[str]], None] = lambda table, keys: None
-        """Called with a table that was read in another era, and with its keys there."""
-        self.reply: Callable[[DaemonId, StoreNews], None] = lambda daemon, news: None
+        """Called with a table that moved to a later era, and its keys in that era."""
+        self.reply: Callable[[DaemonId, StoreNews], None] = lambda daemon, update: None
         self.compact: Callable[[str, Any], Any] = lambda key, value: value
         self.alone_until_s: Callable[[], float] = lambda: float("-inf")
-        """When this daemon last heard none of the others, on its own clock."""
+        """End of the last period without messages from peers, now while one lasts.
+
+        On this daemon's clock.
+        """
 
     @property
     def era(self) -> StoreEra:
-        """The latest era of the store that this daemon has heard of."""
-        return max(followed.heard_era for followed in self._tables.values())
+        """The latest era of the store that is known to this daemon."""
+        return max(state.latest_era for state in self._tables.values())
 
     def has_read(self, *names: str) -> bool:
-        """Return whether each of some tables was read at least once."""
+        """Return whether each of the named tables has been read at least once."""
         return all(self._tables[name].copy.version > 0 for name in names)
 
     def knowledge(self, name: str) -> Knowledge:
-        """Return how recent the copy of a table is."""
+        """Return the version and age of a table's copy."""
         copy = self._tables[name].copy
         return Knowledge(copy.version, self._age_s(copy.answered_s))
 
     def _age_s(self, answered_s: float) -> float:
-        return self._clock.age_s(answered_s, self._core.clock())
+        return self._store_clock.max_age_s(answered_s, self._core.clock())
 
     async def on_started(self) -> None:
-        """Follow each table in a task of its own."""
-        for followed in self._tables.values():
-            self.add_future(self._async_follow(followed))
+        """Start a polling task for each table."""
+        for state in self._tables.values():
+            self.add_future(self._async_poll_table(state))
 
-    async def _async_follow(self, followed: Followed) -> None:
+    async def _async_poll_table(self, state: TableState) -> None:
         while not self.should_stop:
-            probe_s = self._pacer.pause_s(self._core.clock())
-            pause_s = max(self._pause_s(followed), probe_s)
+            probe_s = self._backoff.pause_s(self._core.clock())
+            pause_s = max(self._pause_s(state), probe_s)
             if pause_s > 0:
                 await self.sleep(pause_s)
-            elif self._pacer.is_away:
-                await self._async_probe(followed)
+            elif self._backoff.is_failing:
+                await self._async_probe_store(state)
             else:
-                await self._async_try_pull(followed)
+                await self._async_try_refresh(state)
 
-    async def _async_probe(self, followed: Followed) -> None:
-        """Read a table of a store that did not answer, while no other table is read."""
-        if self._probe.locked():
-            async with self._probe:
+    async def _async_probe_store(self, state: TableState) -> None:
+        """Read a table of a failing store, or wait for the probe that is running."""
+        if self._probe_lock.locked():
+            async with self._probe_lock:
                 return
-        async with self._probe:
-            await self._async_try_pull(followed)
+        async with self._probe_lock:
+            await self._async_try_refresh(state)
 
-    async def _async_try_pull(self, followed: Followed) -> None:
+    async def _async_try_refresh(self, state: TableState) -> None:
         try:
-            await self._async_pull(followed)
+            await self._async_refresh(state)
         except PlatformUnavailable as error:
-            self._note_failure(followed, error)
+            self._record_failure(state, error)
 
-    def _pause_s(self, followed: Followed) -> float:
-        """Return how long to wait before a call is due."""
+    def _pause_s(self, state: TableState) -> float:
+        """Return the time until the next read of a table is due."""
         rank = self._rank()
-        since_start_s = self._core.clock() - followed.started_s
-        least_s = MIN_PERIOD_SHARE * followed.bound_s - since_start_s
-        if rank == 0 or followed.copy.version == 0:
+        since_start_s = self._core.clock() - state.call_started_s
+        least_s = MIN_INTERVAL_SHARE * state.staleness_bound_s - since_start_s
+        if rank == 0 or state.copy.version == 0:
             return least_s
-        share = FIRST_SHARE + RANK_SHARE * min(rank - 1, MAX_RANK)
-        due_s = share * followed.bound_s - self._age_s(followed.copy.answered_s)
-        # A read that could not be taken leaves the copy as old as it was.
-        return due_s if self._pacer.is_away else max(least_s, due_s)
-
-    async def _async_pull(self, followed: Followed) -> None:
-        copy = followed.copy
+        share = FIRST_BACKUP_SHARE + RANK_DELAY_SHARE * min(rank - 1, MAX_RANK_STEPS)
+        due_s = share * state.staleness_bound_s - self._age_s(state.copy.answered_s)
+        # A read that could not be applied leaves the copy as old as it was, and is not
+        # repeated before the minimum interval has passed.
+        return due_s if self._backoff.is_failing else max(least_s, due_s)
+
+    async def _async_refresh(self, state: TableState) -> None:
+        copy = state.copy
         is_first = not copy.version
         before = dict(copy.rows)
-        read = await self._async_read(followed)
-        self._note_call(followed, read)
-        self._note_return(followed, read)
-        if copy.fit(read) is not NewsFit.FITS:
-            # Others have told of more meanwhile.
+        read = await self._async_read(state)
+        self._record_answer(state, read)
+        self._detect_outage(state, read)
+        if copy.status_of(read) is not UpdateStatus.APPLICABLE:
+            # Updates from peers have moved the copy on during the read.
             self._core.events.info(
                 "store_read_outdated",
                 table=copy.name,
@@ -163,21 +172,21 @@
                 known_era=copy.era,
             )
             return
-        self._take(followed, read, OWN_READ)
-        # Whole tables are large, and all daemons read them when they start.
+        self._apply(state, read, OWN_READ)
+        # Full tables are large, and every daemon reads them when it starts.
         if not is_first:
-            self._send(copy.make_news(read, before))
+            self._send(copy.make_update(read, before))
 
-    def _note_call(self, followed: Followed, read: StoreNews) -> None:
-        """Learn from a call that was answered, and log an odd one."""
+    def _record_answer(self, state: TableState, read: StoreNews) -> None:
+        """Record the timing of an answered call, and log a slow one."""
         now_s = self._core.clock()
-        self._clock.note(followed.started_s, now_s, read.answered_s)
-        self._pacer.note_success()
-        if self._is_away:
-            self._is_away = False
+        self._store_clock.add_sample(state.call_started_s, now_s, read.answered_s)
+        self._backoff.record_success()
+        if self._is_store_down:
+            self._is_store_down = False
             self._core.events.info("store_regained", table=read.table)
-        took_s = now_s - followed.started_s
-        if took_s > WAIT_SHARE * followed.bound_s + SLOW_CALL_S:
+        took_s = now_s - state.call_started_s
+        if took_s > LONG_POLL_SHARE * state.staleness_bound_s + SLOW_CALL_EXCESS_S:
             self._core.events.record(
                 "store_answer_late",
                 table=read.table,
@@ -185,28 +194,30 @@
                 age_s=self._age_s(read.answered_s),
             )
 
-    async def _async_read(self, followed: Followed) -> StoreNews:
-        """Return all changes, or the whole table when history is not kept.
+    async def _async_read(self, state: TableState) -> StoreNews:
+        """Return the changes since the copy's version, or the full table.
 
-        Endpoints write mostly signs of life; what they mean is compared without these.
+        The full table is read when there is no copy yet, when the store no longer has
+        the history, or when its era has changed. Most writes are heartbeats of
+        endpoints: ``compact`` removes them before rows are compared.
         """
-        copy = followed.copy
+        copy = state.copy
         name, after, era = copy.name, copy.version, copy.era
         prefix = f"{name}/"
-        followed.started_s = self._core.clock()
+        state.call_started_s = self._core.clock()
         page: RowPage | None = None
         if after:
-            # A store that is back answers at once.
-            may_wait = self._rank() == 0 and not self._pacer.is_away
-            wait_s = WAIT_SHARE * followed.bound_s if may_wait else 0.0
+            # Probes do not wait: a recovered store answers them at once.
+            may_wait = self._rank() == 0 and not self._backoff.is_failing
+            wait_s = LONG_POLL_SHARE * state.staleness_bound_s if may_wait else 0.0
             try:
                 page = await self._table.async_watch(prefix, after, wait_s)
             except HistoryLost:
                 self._core.events.warning("store_history_lost", table=name, after=after)
         if page is None or page.era != era:
-            # Changes after a version of another era leave out those before it.
+            # The version is of another era, so earlier changes would be missing.
             after = 0
-            followed.started_s = self._core.clock()
+            state.call_started_s = self._core.clock()
             page = await self._table.async_read(prefix)
         rows = [self._make_row(row) for row in page.rows]
         return StoreNews(name, after, page.version, page.answered_s, rows, page.era)
@@ -215,60 +226,60 @@
         value = None if row.value is None else self.compact(row.key, row.value)
         return StoredRow(row.key, row.version, value)
 
-    def take_news(self, news: StoreNews, source: str) -> None:
-        """Take in what another daemon has read."""
-        followed = self._tables.get(news.table)
-        if followed is None:
+    def take_news(self, update: StoreNews, source: str) -> None:
+        """Apply an update from another daemon if it is applicable."""
+        state = self._tables.get(update.table)
+        if state is None:
             return
-        copy = followed.copy
-        fit = copy.fit(news)
-        if fit is NewsFit.GAP:
-            # The next own read fills it, or a peer where the store turns this one away.
-            followed.is_behind = True
+        copy = state.copy
+        status = copy.status_of(update)
+        if status is UpdateStatus.GAP:
+            # The next read fills the gap, or a peer's snapshot if the store fails.
+            state.has_gap = True
             self._core.events.info(
                 "store_news_gap",
-                table=news.table,
-                after=news.after,
+                table=update.table,
+                after=update.after,
                 version=copy.version,
-                era=news.era,
+                era=update.era,
                 known_era=copy.era,
                 source=source,
             )
-        self._note_return(followed, news)
-        if fit is NewsFit.FITS:
-            self._take(followed, news, source)
-
-    def _take(self, followed: Followed, news: StoreNews, source: str) -> None:
-        """Take in news that fit the copy, and call back with what has changed."""
-        copy = followed.copy
-        is_restored = copy.version > 0 and news.era > copy.era
-        followed.is_behind = False
-        changed = copy.take_news(news)
+        self._detect_outage(state, update)
+        if status is UpdateStatus.APPLICABLE:
+            self._apply(state, update, source)
+
+    def _apply(self, state: TableState, update: StoreNews, source: str) -> None:
+        """Apply an applicable update, and report the changed rows."""
+        copy = state.copy
+        is_restored = copy.version > 0 and update.era > copy.era
+        state.has_gap = False
+        changed = copy.apply(update)
         if is_restored:
             self.on_restored(copy.name, set(copy.rows))
-        self._tell_rows(followed, changed, news.answered_s, source, is_restored)
+        self._notify_rows(state, changed, update.answered_s, source, is_restored)
 
     def take_request(self, request: SnapshotRequest) -> None:
-        """Send a whole table to a daemon that can't reach the store."""
-        followed = self._tables.get(request.table)
+        """Send the full table to a daemon that can't reach the store."""
+        state = self._tables.get(request.table)
         now_s = self._core.clock()
-        if followed is None or not followed.copy.version:
+        if state is None or not state.copy.version:
             return
-        if now_s - followed.snapshot_sent_s < SNAPSHOT_PAUSE_S:
+        if now_s - state.snapshot_sent_s < MIN_SNAPSHOT_INTERVAL_S:
             return
-        followed.snapshot_sent_s = now_s
-        self.reply(request.daemon, followed.copy.as_news())
+        state.snapshot_sent_s = now_s
+        self.reply(request.daemon, state.copy.to_snapshot())
 
-    def _tell_rows(
+    def _notify_rows(
         self,
-        followed: Followed,
+        state: TableState,
         changed: list[StoredRow],
         answered_s: float,
         source: str,
         is_restored: bool,
     ) -> None:
         age_s = self._age_s(answered_s)
-        back_in_s = followed.returned_s + RETURN_S - answered_s
+        back_in_s = state.recovered_s + REREGISTRATION_S - answered_s
         back_until_s = self._core.clock() - age_s + back_in_s
         for row in changed:
             change = RowChange(
@@ -282,67 +293,72 @@
             )
             self.on_row(change)
 
-    def _note_return(self, followed: Followed, news: StoreNews) -> None:
-        """Take a gap that no daemon's trouble explains for an outage of the store.
+    def _detect_outage(self, state: TableState, update: StoreNews) -> None:
+        """Detect an outage of the store from the gap between its answers.
 
-        The others read in turn and tell, so that answers of the store lie further
-        apart than the bound only when it answered nobody, or when this daemon heard
-        nothing; news that don't fit the copy are answers too. A store that has come
-        back from a copy was away, for however short a time.
+        The daemons read in turn and send each other updates, so answers of the store
+        are further apart than the staleness bound only if it answered nobody, or if
+        this daemon received nothing. Updates that can't be applied count as answers
+        too. A store that was restored from a backup was down, however briefly.
         """
-        if news.era < followed.heard_era:
+        if update.era < state.latest_era:
             return
-        answered_s = news.answered_s
-        heard_s = answered_s if followed.heard_s is None else followed.heard_s
-        gap_s = answered_s - heard_s
-        is_restored = news.era > followed.heard_era and followed.copy.version > 0
+        answered_s = update.answered_s
+        latest_answer_s = (
+            answered_s if state.latest_answer_s is None else state.latest_answer_s
+        )
+        gap_s = answered_s - latest_answer_s
+        is_restored = update.era > state.latest_era and state.copy.version > 0
         if is_restored:
-            self._log_restored(followed, news)
-        if is_restored or gap_s > max(followed.bound_s, self._outage_s):
-            self._note_gap(followed, answered_s, gap_s)
-        followed.heard_s = answered_s if is_restored else max(heard_s, answered_s)
-        followed.heard_era = news.era
+            self._log_restored(state, update)
+        if is_restored or gap_s > max(state.staleness_bound_s, self._outage_s):
+            self._record_gap(state, answered_s, gap_s)
+        state.latest_answer_s = (
+            answered_s if is_restored else max(latest_answer_s, answered_s)
+        )
+        state.latest_era = update.era
 
-    def _log_restored(self, followed: Followed, news: StoreNews) -> None:
+    def _log_restored(self, state: TableState, update: StoreNews) -> None:
         self._core.events.warning(
             "store_restored",
-            table=news.table,
-            era=news.era,
-            before=followed.heard_era,
-            version=news.version,
-            known=followed.copy.version,
+            table=update.table,
+            era=update.era,
+            before=state.latest_era,
+            version=update.version,
+            known=state.copy.version,
         )
 
-    def _note_gap(self, followed: Followed, answered_s: float, gap_s: float) -> None:
-        """Judge a gap between answers of the store, now that there is one again.
+    def _record_gap(self, state: TableState, answered_s: float, gap_s: float) -> None:
+        """Decide whether a gap between answers of the store was an outage.
 
-        A daemon that heard no peer either was cut off itself. Guards against keeping
-        endpoints that left meanwhile, or just then, as if the store had been away:
-        with the pause of calls before the first answer, for longer than it may.
+        A daemon that received nothing from its peers either was disconnected itself.
+        If it took that for an outage, it would keep endpoints that left during the gap,
+        or just after it, in use: together with the pause of calls before the first
+        answer, for longer than the staleness bound.
         """
-        began_s = self._core.clock() - self._age_s(answered_s) - gap_s
-        is_outage = self.alone_until_s() < began_s
+        gap_started_s = self._core.clock() - self._age_s(answered_s) - gap_s
+        is_outage = self.alone_until_s() < gap_started_s
         if is_outage:
-            followed.returned_s = answered_s
+            state.recovered_s = answered_s
         self._core.events.info(
-            "store_gap", table=followed.copy.name, gap_s=gap_s, is_outage=is_outage
+            "store_gap", table=state.copy.name, gap_s=gap_s, is_outage=is_outage
         )
 
-    def _note_failure(self, followed: Followed, error: PlatformUnavailable) -> None:
-        copy = followed.copy
-        if not self._is_away:
+    def _record_failure(self, state: TableState, error: PlatformUnavailable) -> None:
+        copy = state.copy
+        if not self._is_store_down:
             self._core.events.warning("store_lost", table=copy.name, error=error)
         self._core.events.record(
             "store_read_failed",
             table=copy.name,
-            took_s=self._core.clock() - followed.started_s,
+            took_s=self._core.clock() - state.call_started_s,
             age_s=self._age_s(copy.answered_s),
             error=error,
         )
-        self._is_away = True
+        self._is_store_down = True
         now_s = self._core.clock()
-        is_urgent = copy.version == 0 or followed.is_behind
+        is_urgent = copy.version == 0 or state.has_gap
         is_urgent |= self.alone_until_s() >= now_s
-        self._pacer.note_failure(now_s, self._rank(), is_urgent=is_urgent)
-        if copy.version == 0 or followed.is_behind:
+        self._backoff.record_failure(now_s, self._rank(), is_urgent=is_urgent)
+        if copy.version == 0 or state.has_gap:
             self._send(SnapshotRequest(copy.name, self._core.daemon_id))
--- a/tests/watching/leaving_soak.py
+++ b/tests/watching/leaving_soak.py
@@ -19,40 +19,40 @@
 from chutelink.store import Row
 
 from ..virtual_time import run_virtually
-from .watching_fleet import Follower, WatchingFleet, async_fleet
+from .watching_fleet import SimulatedDaemon, SimulatedFleet, async_fleet
 
-EVENT_S = 0.6
+MEAN_EVENT_INTERVAL_S = 0.6
 """Mean time between two events."""
-MAX_TROUBLE_S = 4.0
-MAX_LATE_S = 2.5
+MAX_FAULT_S = 4.0
+MAX_UPDATE_DELAY_S = 2.5
 MIN_ENDPOINTS = 3
-MAX_COPY_AGE_S = 6.0
+MAX_BACKUP_AGE_S = 6.0
 """How much may be lost when the store comes back from a copy."""
-MAX_AWAY_S = 3.0
-WRITE_RETRY_S = 0.2
-RETURN_S = 1.9
+MAX_DOWNTIME_S = 3.0
+REWRITE_RETRY_S = 0.2
+REREGISTRATION_S = 1.9
 """When live endpoints that lapsed in an outage are back at the latest."""
 
 
 class Soak:
     """Lets things happen to a fleet at random moments."""
 
-    def __init__(self, fleet: WatchingFleet) -> None:
+    def __init__(self, fleet: SimulatedFleet) -> None:
         self._fleet = fleet
         self._rng = fleet.rng
-        self._next = 100
+        self._next_number = 100
         self._events: list[Callable[[], object]] = [
-            self._leave,
-            self._leave,
-            self._leave,
-            self._join,
-            self._join,
-            self._trouble,
-            self._trouble,
-            self._trouble,
-            self._forget_history,
-            self._outage,
-            self._restoration,
+            self._remove_endpoint,
+            self._remove_endpoint,
+            self._remove_endpoint,
+            self._add_endpoint,
+            self._add_endpoint,
+            self._inject_fault,
+            self._inject_fault,
+            self._inject_fault,
+            self._drop_history,
+            self._begin_outage,
+            self._schedule_restore,
         ]
         self._weights = [1, 1, 1, 1, 1, 1, 1, 1, 0.5, 0.15, 0.15]
 
@@ -60,159 +60,165 @@
         loop = asyncio.get_running_loop()
         end_s = loop.time() + time_s
         while loop.time() < end_s:
-            await self._fleet.async_pass(self._rng.expovariate(1 / EVENT_S))
+            await self._fleet.async_advance(
+                self._rng.expovariate(1 / MEAN_EVENT_INTERVAL_S)
+            )
             self._rng.choices(self._events, self._weights)[0]()
-        await self._fleet.async_pass(3.0)
+        await self._fleet.async_advance(3.0)
 
-    def _living(self) -> list[str]:
-        rows = self._fleet.registry.rows.values()
+    def _ready_endpoints(self) -> list[str]:
+        rows = self._fleet.store.rows.values()
         return [
             row.key.partition("/")[2]
             for row in rows
             if row.value is not None and row.value["state"] == "ready"
         ]
 
-    def _leave(self) -> None:
-        living = self._living()
-        if len(living) <= MIN_ENDPOINTS or self._fleet.registry.is_out:
+    def _remove_endpoint(self) -> None:
+        ready = self._ready_endpoints()
+        if len(ready) <= MIN_ENDPOINTS or self._fleet.store.is_down:
             return
-        name = self._rng.choice(living)
+        name = self._rng.choice(ready)
         if self._rng.random() < 0.5:
-            self._fleet.registry.register(name, "draining")
+            self._fleet.store.register(name, "draining")
         else:
-            self._fleet.registry.remove(name)
+            self._fleet.store.remove(name)
 
-    def _join(self) -> None:
-        if not self._fleet.registry.is_out:
-            self._next += 1
-            self._fleet.registry.register(f"e{self._next}")
+    def _add_endpoint(self) -> None:
+        if not self._fleet.store.is_down:
+            self._next_number += 1
+            self._fleet.store.register(f"e{self._next_number}")
 
-    def _forget_history(self) -> None:
-        self._fleet.registry.forget_history()
+    def _drop_history(self) -> None:
+        self._fleet.store.drop_history()
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         """Put one daemon in trouble, most often one that reads for others."""
-        rank = min(int(self._rng.expovariate(0.6)), len(self._fleet.followers) - 1)
-        follower = self._fleet.followers[rank]
-        if follower.calm_from_s == float("inf"):
+        rank = min(int(self._rng.expovariate(0.6)), len(self._fleet.daemons) - 1)
+        daemon = self._fleet.daemons[rank]
+        if daemon.healthy_since_s == float("inf"):
             return
-        follower.calm_from_s = float("inf")
-        kind = self._rng.choice([self._cut, self._slow_answers, self._slow_news])
-        end = kind(follower)
-        time_s = self._rng.uniform(0.1, MAX_TROUBLE_S)
+        daemon.healthy_since_s = float("inf")
+        kind = self._rng.choice(
+            [self._disconnect, self._delay_answers, self._delay_updates]
+        )
+        end = kind(daemon)
+        time_s = self._rng.uniform(0.1, MAX_FAULT_S)
         loop = asyncio.get_running_loop()
-        loop.call_later(time_s, self._end_trouble, follower, end)
+        loop.call_later(time_s, self._clear_fault, daemon, end)
 
-    def _end_trouble(self, follower: Follower, end: Callable[[], None]) -> None:
+    def _clear_fault(self, daemon: SimulatedDaemon, end: Callable[[], None]) -> None:
         end()
-        follower.path.is_silent = self._rng.random() < 0.5
-        follower.calm_from_s = asyncio.get_running_loop().time()
+        daemon.connection.is_connection_stale = self._rng.random() < 0.5
+        daemon.healthy_since_s = asyncio.get_running_loop().time()
 
-    def _cut(self, follower: Follower) -> Callable[[], None]:
-        follower.path.is_cut = True
+    def _disconnect(self, daemon: SimulatedDaemon) -> Callable[[], None]:
+        daemon.connection.is_disconnected = True
 
         def end() -> None:
-            follower.path.is_cut = False
+            daemon.connection.is_disconnected = False
 
         return end
 
-    def _slow_answers(self, follower: Follower) -> Callable[[], None]:
-        late_s = self._rng.uniform(0.0, 1.0)
-        follower.path.answer_late_s = lambda: late_s * self._rng.random()
+    def _delay_answers(self, daemon: SimulatedDaemon) -> Callable[[], None]:
+        delay_s = self._rng.uniform(0.0, 1.0)
+        daemon.connection.answer_delay_s = lambda: delay_s * self._rng.random()
 
         def end() -> None:
-            follower.path.answer_late_s = lambda: 0.0
+            daemon.connection.answer_delay_s = lambda: 0.0
 
         return end
 
-    def _slow_news(self, follower: Follower) -> Callable[[], None]:
-        late_s = self._rng.uniform(0.0, MAX_LATE_S)
-        lost_share = self._rng.choice([0.0, 0.0, 0.3])
+    def _delay_updates(self, daemon: SimulatedDaemon) -> Callable[[], None]:
+        delay_s = self._rng.uniform(0.0, MAX_UPDATE_DELAY_S)
+        loss_share = self._rng.choice([0.0, 0.0, 0.3])
 
-        def news_late_s(_) -> float:
-            is_lost = self._rng.random() < lost_share
-            return float("inf") if is_lost else late_s
+        def update_delay_s(_) -> float:
+            is_lost = self._rng.random() < loss_share
+            return float("inf") if is_lost else delay_s
 
-        follower.news_late_s = news_late_s
+        daemon.update_delay_s = update_delay_s
 
         def end() -> None:
-            follower.news_late_s = lambda _: 0.0
+            daemon.update_delay_s = lambda _: 0.0
 
         return end
 
-    def _outage(self) -> None:
+    def _begin_outage(self) -> None:
         """Let the store be away; some live endpoints lapse and come back."""
-        registry = self._fleet.registry
-        if registry.is_out:
+        store = self._fleet.store
+        if store.is_down:
             return
-        registry.is_out = True
-        registry.calm_from_s = float("inf")
+        store.is_down = True
+        store.healthy_since_s = float("inf")
         loop = asyncio.get_running_loop()
-        loop.call_later(self._rng.uniform(0.3, MAX_TROUBLE_S), self._end_outage)
+        loop.call_later(self._rng.uniform(0.3, MAX_FAULT_S), self._end_outage)
 
-    def _restoration(self) -> None:
+    def _schedule_restore(self) -> None:
         """Let the store be away for a moment and come back from a copy."""
-        registry = self._fleet.registry
-        if registry.is_out:
+        store = self._fleet.store
+        if store.is_down:
             return
-        copy = registry.copy()
+        backup = store.backup()
         loop = asyncio.get_running_loop()
-        loop.call_later(self._rng.uniform(0.1, MAX_COPY_AGE_S), self._restore, copy)
+        loop.call_later(
+            self._rng.uniform(0.1, MAX_BACKUP_AGE_S), self._begin_restore, backup
+        )
 
-    def _restore(self, copy: tuple[dict[str, Row], int]) -> None:
-        registry = self._fleet.registry
-        if registry.is_out:
+    def _begin_restore(self, backup: tuple[dict[str, Row], int]) -> None:
+        store = self._fleet.store
+        if store.is_down:
             return
-        registry.is_out = True
-        registry.calm_from_s = float("inf")
+        store.is_down = True
+        store.healthy_since_s = float("inf")
         loop = asyncio.get_running_loop()
-        away_s = self._rng.uniform(0.0, MAX_AWAY_S)
-        loop.call_later(away_s, self._end_restoration, copy)
+        away_s = self._rng.uniform(0.0, MAX_DOWNTIME_S)
+        loop.call_later(away_s, self._finish_restore, backup)
 
-    def _end_restoration(self, copy: tuple[dict[str, Row], int]) -> None:
+    def _finish_restore(self, backup: tuple[dict[str, Row], int]) -> None:
         """Come back older; endpoints write what they had written again, in a while."""
-        registry = self._fleet.registry
-        held = dict(registry.rows)
-        registry.restore(copy)
-        registry.is_out = False
+        store = self._fleet.store
+        held = dict(store.rows)
+        store.restore(backup)
+        store.is_down = False
         loop = asyncio.get_running_loop()
-        registry.calm_from_s = loop.time()
+        store.healthy_since_s = loop.time()
         for key, row in held.items():
             name = key.partition("/")[2]
-            again = functools.partial(self._write_again, name, row)
-            loop.call_later(self._rng.uniform(0.0, RETURN_S), again)
+            again = functools.partial(self._rewrite_row, name, row)
+            loop.call_later(self._rng.uniform(0.0, REREGISTRATION_S), again)
 
-    def _write_again(self, name: str, row: Row) -> None:
+    def _rewrite_row(self, name: str, row: Row) -> None:
         """Write a row as it was, unless its endpoint has begun to leave since."""
-        registry = self._fleet.registry
-        if registry.is_out:
-            again = functools.partial(self._write_again, name, row)
-            asyncio.get_running_loop().call_later(WRITE_RETRY_S, again)
+        store = self._fleet.store
+        if store.is_down:
+            again = functools.partial(self._rewrite_row, name, row)
+            asyncio.get_running_loop().call_later(REWRITE_RETRY_S, again)
             return
-        found = registry.rows.get(row.key)
-        is_gone = EndpointId(name) in registry.left_s
+        found = store.rows.get(row.key)
+        is_gone = EndpointId(name) in store.leaving_since_s
         if row.value is None:
             if found is not None and found.value is not None:
-                registry.remove(name, is_leaving=False)
+                store.remove(name, is_leaving=False)
         elif not is_gone or row.value["state"] == "draining":
-            registry.register(name, row.value["state"])
+            store.register(name, row.value["state"])
 
     def _end_outage(self) -> None:
-        registry = self._fleet.registry
+        store = self._fleet.store
         loop = asyncio.get_running_loop()
-        for name in self._living():
+        for name in self._ready_endpoints():
             if self._rng.random() < 0.3:
-                registry.remove(name, is_leaving=False)
-                back_s = self._rng.uniform(0.1, RETURN_S)
-                loop.call_later(back_s, registry.register, name)
-        registry.is_out = False
-        registry.calm_from_s = loop.time()
+                store.remove(name, is_leaving=False)
+                back_s = self._rng.uniform(0.1, REREGISTRATION_S)
+                loop.call_later(back_s, store.register, name)
+        store.is_down = False
+        store.healthy_since_s = loop.time()
 
 
 async def async_soak(seed: int, time_s: float) -> None:
     """Run one seed; fails with what was sent where how late."""
-    async with async_fleet(daemons=3 + seed % 6, seed=seed, endpoints=6) as fleet:
-        fleet.start_task(fleet.async_heartbeats())
+    async with async_fleet(daemon_count=3 + seed % 6, seed=seed, endpoints=6) as fleet:
+        fleet.start_task(fleet.async_write_heartbeats())
         await Soak(fleet).async_run(time_s)
 
 
--- a/tests/watching/test_leaving.py
+++ b/tests/watching/test_leaving.py
@@ -25,173 +25,173 @@
 from .leaving_soak import async_soak
 from .watching_fleet import async_fleet
 
-ALWAYS_S = float("inf")
+NEVER_S = float("inf")
 SOAK_SEEDS = (*range(1, 21), 1082, 1158, 3078)
 """The last three failed once, on codes or models of the store before."""
 SOAK_S = 40.0
 
 
-def test_a_lost_call_of_the_reader_is_no_outage_of_the_store():
+def test_failed_call_of_reader_is_not_a_store_outage():
     async def async_test():
         for seed in range(20):
             async with async_fleet(seed=seed) as fleet:
-                reader = fleet.followers[0]
-                reader.calm_from_s = ALWAYS_S
-                reader.path.is_cut = True
-                await fleet.async_pass(1.6 + 0.02 * seed)
-                reader.path.is_cut = False
-                await fleet.async_pass(1.0)
-                fleet.registry.remove("e1")
-                await fleet.async_pass(3.0)
+                reader = fleet.daemons[0]
+                reader.healthy_since_s = NEVER_S
+                reader.connection.is_disconnected = True
+                await fleet.async_advance(1.6 + 0.02 * seed)
+                reader.connection.is_disconnected = False
+                await fleet.async_advance(1.0)
+                fleet.store.remove("e1")
+                await fleet.async_advance(3.0)
 
     run_virtually(async_test())
 
 
-def test_news_that_arrive_late_are_as_old_as_they_are():
+def test_delayed_updates_count_with_their_real_age():
     """A reader whose links are slow tells all in time that it has read, not what."""
 
     async def async_test():
         async with async_fleet() as fleet:
-            reader = fleet.followers[0]
-            reader.calm_from_s = ALWAYS_S
-            reader.news_late_s = lambda peer: 1.9
-            fleet.start_task(fleet.async_heartbeats())
-            await fleet.async_pass(4.0)
+            reader = fleet.daemons[0]
+            reader.healthy_since_s = NEVER_S
+            reader.update_delay_s = lambda peer: 1.9
+            fleet.start_task(fleet.async_write_heartbeats())
+            await fleet.async_advance(4.0)
             for name in ("e0", "e1", "e2"):
-                fleet.registry.register(name, "draining")
-                await fleet.async_pass(2.9)
+                fleet.store.register(name, "draining")
+                await fleet.async_advance(2.9)
 
     run_virtually(async_test())
 
 
-def test_what_is_read_after_lost_history_reaches_those_that_missed_news():
+def test_full_read_after_lost_history_reaches_daemons_that_missed_updates():
     async def async_test():
         async with async_fleet() as fleet:
-            reader, other = fleet.followers[0], fleet.followers[5]
-            fleet.start_task(fleet.async_heartbeats())
+            reader, other = fleet.daemons[0], fleet.daemons[5]
+            fleet.start_task(fleet.async_write_heartbeats())
             never_s = float("inf")
-            reader.news_late_s = lambda peer: never_s if peer == other.name else 0.0
-            fleet.registry.register("e1", "draining")
+            reader.update_delay_s = lambda peer: never_s if peer == other.name else 0.0
+            fleet.store.register("e1", "draining")
             while "e1" in reader.usable():
                 await asyncio.sleep(0.01)
-            reader.news_late_s = lambda peer: 0.0
-            fleet.registry.register("e2")
-            fleet.registry.forget_history()
-            await fleet.async_pass(5.0)
+            reader.update_delay_s = lambda peer: 0.0
+            fleet.store.register("e2")
+            fleet.store.drop_history()
+            await fleet.async_advance(5.0)
 
     run_virtually(async_test())
 
 
-def test_live_endpoints_that_vanish_in_an_outage_stay_in_use_until_they_are_back():
+def test_live_endpoints_removed_in_outage_stay_usable_until_reregistered():
     async def async_test():
         for seed in range(10):
             async with async_fleet(seed=seed) as fleet:
-                registry = fleet.registry
-                registry.is_out = True
-                await fleet.async_pass(4.0)
-                registry.remove("e1", is_leaving=False)
-                registry.remove("e2", is_leaving=False)
-                registry.is_out = False
+                store = fleet.store
+                store.is_down = True
+                await fleet.async_advance(4.0)
+                store.remove("e1", is_leaving=False)
+                store.remove("e2", is_leaving=False)
+                store.is_down = False
                 for _ in range(190):
                     await asyncio.sleep(0.01)
-                    assert all("e1" in f.usable() for f in fleet.followers)
-                registry.register("e1")
+                    assert all("e1" in f.usable() for f in fleet.daemons)
+                store.register("e1")
                 await asyncio.sleep(2.2)
-                assert all("e1" in f.usable() for f in fleet.followers)
-                assert not any("e2" in f.usable() for f in fleet.followers)
+                assert all("e1" in f.usable() for f in fleet.daemons)
+                assert not any("e2" in f.usable() for f in fleet.daemons)
 
     run_virtually(async_test())
 
 
-def test_an_endpoint_that_left_is_not_used_again_when_an_older_store_is_back():
+def test_endpoint_that_left_is_not_reused_after_restore():
     """The older copy shows it as ready until it writes again that it leaves."""
 
     async def async_test():
         for leave in ("drain", "remove"):
             async with async_fleet() as fleet:
-                registry = fleet.registry
-                await fleet.async_pass(4.0)
-                copy = registry.copy()
-                _leave(registry, leave)
-                await fleet.async_pass(1.5)
-                registry.restore(copy)
-                registry.calm_from_s = asyncio.get_running_loop().time()
-                await fleet.async_pass(1.8)
-                _leave(registry, leave)
-                await fleet.async_pass(6.0)
+                store = fleet.store
+                await fleet.async_advance(4.0)
+                backup = store.backup()
+                _leave(store, leave)
+                await fleet.async_advance(1.5)
+                store.restore(backup)
+                store.healthy_since_s = asyncio.get_running_loop().time()
+                await fleet.async_advance(1.8)
+                _leave(store, leave)
+                await fleet.async_advance(6.0)
 
     run_virtually(async_test())
 
 
-def _leave(registry, how):
+def _leave(store, how):
     if how == "drain":
-        registry.register("e1", "draining")
+        store.register("e1", "draining")
     else:
-        registry.remove("e1")
+        store.remove("e1")
 
 
-def test_live_endpoints_that_an_older_store_lacks_stay_in_use_until_they_are_back():
+def test_live_endpoints_missing_from_backup_stay_usable_until_reregistered():
     """Also after an outage that is too short for registrations to lapse."""
 
     async def async_test():
         async with async_fleet() as fleet:
-            registry = fleet.registry
-            copy = registry.copy()
-            registry.register("e8")
-            await fleet.async_pass(1.5)
-            assert all("e8" in f.usable() for f in fleet.followers)
-            registry.restore(copy)
+            store = fleet.store
+            backup = store.backup()
+            store.register("e8")
+            await fleet.async_advance(1.5)
+            assert all("e8" in f.usable() for f in fleet.daemons)
+            store.restore(backup)
             for _ in range(100):
                 await asyncio.sleep(0.01)
-                assert all("e8" in f.usable() for f in fleet.followers)
-            registry.register("e8")
+                assert all("e8" in f.usable() for f in fleet.daemons)
+            store.register("e8")
             await asyncio.sleep(4.0)
-            assert all("e8" in f.usable() for f in fleet.followers)
+            assert all("e8" in f.usable() for f in fleet.daemons)
 
     run_virtually(async_test())
 
 
-def test_an_endpoint_that_an_older_store_brings_back_is_used_again_if_it_lives():
+def test_lapsed_endpoint_restored_from_backup_is_reused_if_alive():
     """Its row had lapsed, and the older copy shows it; dead ones lapse once more."""
 
     async def async_test():
         async with async_fleet() as fleet:
-            registry = fleet.registry
-            copy = registry.copy()
-            registry.remove("e1", is_leaving=False)
-            registry.remove("e2", is_leaving=False)
-            await fleet.async_pass(1.5)
-            registry.restore(copy)
+            store = fleet.store
+            backup = store.backup()
+            store.remove("e1", is_leaving=False)
+            store.remove("e2", is_leaving=False)
+            await fleet.async_advance(1.5)
+            store.restore(backup)
             for _ in range(350):
                 await asyncio.sleep(0.01)
-                assert not any("e1" in f.usable() for f in fleet.followers)
-            registry.remove("e2", is_leaving=False)
+                assert not any("e1" in f.usable() for f in fleet.daemons)
+            store.remove("e2", is_leaving=False)
             await asyncio.sleep(3.0)
-            assert all("e1" in f.usable() for f in fleet.followers)
-            assert not any("e2" in f.usable() for f in fleet.followers)
+            assert all("e1" in f.usable() for f in fleet.daemons)
+            assert not any("e2" in f.usable() for f in fleet.daemons)
 
     run_virtually(async_test())
 
 
-def test_whatever_troubles_others_calm_daemons_leave_leaving_endpoints_alone():
+def test_healthy_daemons_avoid_leaving_endpoints_under_random_faults():
     """Longer runs: python -m tests.watching.leaving_soak --first 1 --seeds 1000."""
     for seed in SOAK_SEEDS:
         run_virtually(async_soak(seed, SOAK_S))
 
 
-def test_calm_daemons_leave_the_reading_to_the_first():
+def test_only_first_rank_reads_store_without_faults():
     """Calls to the store are charged for: one reads for all while nothing fails."""
 
     async def async_test():
         async with async_fleet() as fleet:
-            fleet.start_task(fleet.async_heartbeats())
-            await fleet.async_pass(20.0)
-            assert [follower.path.calls for follower in fleet.followers[1:]] == [1] * 6
+            fleet.start_task(fleet.async_write_heartbeats())
+            await fleet.async_advance(20.0)
+            assert [daemon.connection.calls for daemon in fleet.daemons[1:]] == [1] * 6
 
     run_virtually(async_test())
 
 
-def test_a_daemon_that_was_cut_off_takes_its_own_silence_for_no_outage():
+def test_disconnected_daemon_does_not_infer_store_outage():
     """A daemon that had heard nothing kept an endpoint that was gone 0.1 s too long.
 
     What callers saw: a request reached an endpoint 2.11 s after the store had
@@ -205,46 +205,46 @@
     async def async_test():
         for seed in range(20):
             async with async_fleet(seed=seed) as fleet:
-                follower = fleet.followers[5]
-                fleet.start_task(fleet.async_heartbeats())
-                follower.calm_from_s = ALWAYS_S
-                follower.path.is_cut = follower.is_unlinked = True
-                await fleet.async_pass(4.0 + 0.1 * seed)
-                follower.path.is_cut = False
-                follower.calm_from_s = asyncio.get_running_loop().time()
-                await fleet.async_pass(0.9)
-                fleet.registry.remove("e1")
-                await fleet.async_pass(0.4 + 0.02 * seed)
-                follower.is_unlinked = False
-                await fleet.async_pass(4.0)
+                daemon = fleet.daemons[5]
+                fleet.start_task(fleet.async_write_heartbeats())
+                daemon.healthy_since_s = NEVER_S
+                daemon.connection.is_disconnected = daemon.is_isolated = True
+                await fleet.async_advance(4.0 + 0.1 * seed)
+                daemon.connection.is_disconnected = False
+                daemon.healthy_since_s = asyncio.get_running_loop().time()
+                await fleet.async_advance(0.9)
+                fleet.store.remove("e1")
+                await fleet.async_advance(0.4 + 0.02 * seed)
+                daemon.is_isolated = False
+                await fleet.async_advance(4.0)
 
     run_virtually(async_test())
 
 
-def test_a_daemon_that_was_cut_off_takes_no_late_answer_for_the_return_of_a_store():
+def test_disconnected_daemon_does_not_count_late_answer_as_store_recovery():
     """The store came back older while it was cut off, and all is written again."""
 
     async def async_test():
         for seed in range(20):
             async with async_fleet(seed=seed) as fleet:
-                follower, registry = fleet.followers[5], fleet.registry
-                fleet.start_task(fleet.async_heartbeats())
-                follower.calm_from_s = ALWAYS_S
-                follower.path.is_cut = follower.is_unlinked = True
-                registry.restore(registry.copy())
-                await fleet.async_pass(4.0 + 0.1 * seed)
-                follower.path.is_cut = False
-                follower.calm_from_s = asyncio.get_running_loop().time()
-                await fleet.async_pass(0.9)
-                registry.remove("e1")
-                await fleet.async_pass(0.4 + 0.02 * seed)
-                follower.is_unlinked = False
-                await fleet.async_pass(4.0)
+                daemon, store = fleet.daemons[5], fleet.store
+                fleet.start_task(fleet.async_write_heartbeats())
+                daemon.healthy_since_s = NEVER_S
+                daemon.connection.is_disconnected = daemon.is_isolated = True
+                store.restore(store.backup())
+                await fleet.async_advance(4.0 + 0.1 * seed)
+                daemon.connection.is_disconnected = False
+                daemon.healthy_since_s = asyncio.get_running_loop().time()
+                await fleet.async_advance(0.9)
+                store.remove("e1")
+                await fleet.async_advance(0.4 + 0.02 * seed)
+                daemon.is_isolated = False
+                await fleet.async_advance(4.0)
 
     run_virtually(async_test())
 
 
-def test_calls_that_hang_for_a_second_are_no_outage_of_the_store():
+def test_calls_hanging_for_a_second_are_not_a_store_outage():
     """The first reader is away, the others read in turn, and their calls hang once.
 
     The answers that daemons know of lie over two seconds apart then, though no
@@ -254,21 +254,21 @@
     async def async_test():
         for seed in range(30):
             async with async_fleet(seed=seed) as fleet:
-                registry = fleet.registry
-                fleet.start_task(fleet.async_heartbeats())
-                fleet.followers[0].calm_from_s = ALWAYS_S
-                fleet.followers[0].path.is_cut = True
-                await fleet.async_pass(3.0 + 0.03 * seed)
-                registry.is_out = True
-                registry.remove("e1")
-                await fleet.async_pass(1.1)
-                registry.is_out = False
-                await fleet.async_pass(4.0)
+                store = fleet.store
+                fleet.start_task(fleet.async_write_heartbeats())
+                fleet.daemons[0].healthy_since_s = NEVER_S
+                fleet.daemons[0].connection.is_disconnected = True
+                await fleet.async_advance(3.0 + 0.03 * seed)
+                store.is_down = True
+                store.remove("e1")
+                await fleet.async_advance(1.1)
+                store.is_down = False
+                await fleet.async_advance(4.0)
 
     run_virtually(async_test())
 
 
-def test_a_daemon_that_the_store_turns_away_catches_up_with_what_it_missed():
+def test_daemon_rejected_by_store_recovers_missed_changes_from_peers():
     """What others tell from then on continues from what it never heard.
 
     Its own calls are refused for as long as the store likes, so that it can't fill the
@@ -278,18 +278,18 @@
     async def async_test():
         for seed in range(10):
             async with async_fleet(seed=seed) as fleet:
-                follower = fleet.followers[4]
-                fleet.start_task(fleet.async_heartbeats())
-                follower.path.is_refused = True
-                await fleet.async_pass(1.0)
-                follower.is_unlinked = True
-                follower.calm_from_s = ALWAYS_S
-                fleet.registry.register("e7")
-                await fleet.async_pass(1.0)
-                follower.is_unlinked = False
-                follower.calm_from_s = asyncio.get_running_loop().time()
-                await fleet.async_pass(2.0)
-                fleet.registry.register("e1", "draining")
-                await fleet.async_pass(6.0)
+                daemon = fleet.daemons[4]
+                fleet.start_task(fleet.async_write_heartbeats())
+                daemon.connection.is_rejected = True
+                await fleet.async_advance(1.0)
+                daemon.is_isolated = True
+                daemon.healthy_since_s = NEVER_S
+                fleet.store.register("e7")
+                await fleet.async_advance(1.0)
+                daemon.is_isolated = False
+                daemon.healthy_since_s = asyncio.get_running_loop().time()
+                await fleet.async_advance(2.0)
+                fleet.store.register("e1", "draining")
+                await fleet.async_advance(6.0)
 
     run_virtually(async_test())
--- a/tests/watching/test_restored_store.py
+++ b/tests/watching/test_restored_store.py
@@ -12,34 +12,34 @@
 from chutelink.const import TABLE_ENDPOINTS
 from chutelink.platform.store import async_setup_store
 from chutelink.settings import PlatformSection
-from chutelink.watching.timing import MIN_PERIOD_SHARE
+from chutelink.watching.timing import MIN_INTERVAL_SHARE
 from chutelink.watching.watch import StoreWatch
 from standins.metadata_store import MetadataStore
 
 from ..fakes import make_core
 
 WIRE_TABLE = "servers"
-BOUND_S = 2.0
+STALENESS_BOUND_S = 2.0
 """How soon a change must be known everywhere."""
-GIVE_UP_S = 8.0
+TIMEOUT_S = 8.0
 """Busy machines are slow; a change that is not known by then never is."""
 DAEMONS = 4
-NEWS_S = 0.01
+LINK_DELAY_S = 0.01
 
 
-class Watcher:
+class FollowingDaemon:
     """A daemon that follows the endpoints' table, and what it knows of it."""
 
-    def __init__(self, rank, table, tell) -> None:
+    def __init__(self, rank, table, send_update) -> None:
         self.core = make_core(f"d{rank}")
         self.core.clock = asyncio.get_running_loop().time
         self.rows = {}
         self.watch = StoreWatch(
             self.core,
             table,
-            {TABLE_ENDPOINTS: BOUND_S},
+            {TABLE_ENDPOINTS: STALENESS_BOUND_S},
             lambda: rank,
-            lambda news: tell(self, news),
+            lambda news: send_update(self, news),
         )
         self.watch.on_row = self._take_row
 
@@ -56,14 +56,14 @@
 
     def __init__(self, store: MetadataStore) -> None:
         self.store = store
-        self.watchers: list[Watcher] = []
+        self.daemons: list[FollowingDaemon] = []
 
-    def tell(self, sender, news) -> None:
+    def send_update(self, sender, news) -> None:
         loop = asyncio.get_running_loop()
-        for watcher in self.watchers:
-            if watcher is not sender:
-                take = watcher.watch.take_news
-                loop.call_later(NEWS_S, take, news, sender.core.daemon_id)
+        for daemon in self.daemons:
+            if daemon is not sender:
+                take = daemon.watch.take_news
+                loop.call_later(LINK_DELAY_S, take, news, sender.core.daemon_id)
 
     def put(self, name, state) -> None:
         self.store.put(WIRE_TABLE, name, {"state": state})
@@ -72,8 +72,8 @@
         return {key: row for (_, key), row in self.store.rows.items()}
 
     async def async_until(self, check) -> None:
-        async with asyncio.timeout(GIVE_UP_S):
-            while not all(check(watcher.rows) for watcher in self.watchers):
+        async with asyncio.timeout(TIMEOUT_S):
+            while not all(check(daemon.rows) for daemon in self.daemons):
                 await asyncio.sleep(0.02)
 
 
@@ -92,36 +92,36 @@
     async with aiohttp.ClientSession() as session:
         for rank in range(DAEMONS):
             table = async_setup_store(session, settings)
-            fleet.watchers.append(Watcher(rank, table, fleet.tell))
+            fleet.daemons.append(FollowingDaemon(rank, table, fleet.send_update))
         fleet.put("e0", "ready")
-        for watcher in fleet.watchers:
-            await watcher.watch.start()
+        for daemon in fleet.daemons:
+            await daemon.watch.start()
         await fleet.async_until(lambda rows: rows == {"e0": "ready"})
         try:
             yield fleet
         finally:
-            for watcher in fleet.watchers:
-                await watcher.watch.stop()
+            for daemon in fleet.daemons:
+                await daemon.watch.stop()
             await runner.cleanup()
 
 
-async def async_lose(fleet: Fleet, lost: int) -> None:
+async def async_restore_older(fleet: Fleet, lost_rows: int) -> None:
     """Take a copy, write on, and let the store come back from the copy."""
     copy = fleet.store.copy()
-    for number in range(lost):
+    for number in range(lost_rows):
         fleet.put(f"lost{number}", "ready")
-    names = {"e0", *(f"lost{number}" for number in range(lost))}
+    names = {"e0", *(f"lost{number}" for number in range(lost_rows))}
     await fleet.async_until(lambda rows: names <= rows.keys())
     fleet.store.restore(copy)
 
 
-@pytest.mark.parametrize("lost", [2, 20])
-def test_a_change_after_the_return_of_an_older_store_is_known(lost):
+@pytest.mark.parametrize("lost_rows", [2, 20])
+def test_change_after_restore_is_propagated(lost_rows):
     """Reads of the older store were dropped until it had given out as many versions."""
 
     async def async_test():
         async with async_fleet() as fleet:
-            await async_lose(fleet, lost)
+            await async_restore_older(fleet, lost_rows)
             await asyncio.sleep(0.3)
             fleet.put("e0", "draining")
             await fleet.async_until(lambda rows: rows == {"e0": "draining"})
@@ -129,7 +129,7 @@
     asyncio.run(async_test())
 
 
-def test_changes_below_a_version_that_is_given_out_again_are_known():
+def test_changes_with_reused_versions_are_propagated():
     """Changes after a known version left out those before it in the older store."""
 
     async def async_test():
@@ -149,18 +149,18 @@
     asyncio.run(async_test())
 
 
-def test_an_older_store_is_not_read_without_a_pause():
+def test_restored_store_is_not_polled_without_pause():
     """A read that was dropped was followed by the next one at once."""
 
     async def async_test():
         async with async_fleet() as fleet:
-            await async_lose(fleet, 20)
+            await async_restore_older(fleet, 20)
             calls = fleet.store.calls
-            began_s = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             await asyncio.sleep(1.0)
-            took_s = asyncio.get_running_loop().time() - began_s
+            took_s = asyncio.get_running_loop().time() - started_s
             # Lost history takes two calls.
-            periods = 1 + took_s / (MIN_PERIOD_SHARE * BOUND_S)
+            periods = 1 + took_s / (MIN_INTERVAL_SHARE * STALENESS_BOUND_S)
             assert fleet.store.calls - calls <= 2 * DAEMONS * periods
 
     asyncio.run(async_test())
--- a/tests/watching/test_tablecopy.py
+++ b/tests/watching/test_tablecopy.py
@@ -13,103 +13,103 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from chutelink.entry.news import StoredRow, StoreNews
-from chutelink.watching.tablecopy import NewsFit, TableCopy
+from chutelink.watching.tablecopy import TableCopy, UpdateStatus
 
 TABLE = "t"
 COPIES = 3
 KEY = st.sampled_from(["a", "b", "c"])
-WHO = st.integers(0, COPIES - 1)
+COPY_INDEX = st.integers(0, COPIES - 1)
 
 
-def news(after, version, *rows):
+def table_update(after, version, *rows):
     return StoreNews(TABLE, after, version, float(version), list(rows))
 
 
 def make_copy(version, *rows):
     copy = TableCopy(TABLE)
-    copy.take_read(news(0, version, *rows))
+    copy.apply_read(table_update(0, version, *rows))
     return copy
 
 
-def test_a_whole_table_removes_what_it_does_not_have():
+def test_full_table_removes_missing_rows():
     copy = make_copy(5, StoredRow("a", 4, "x"), StoredRow("b", 5, "y"))
-    changed = copy.take_news(news(0, 9, StoredRow("a", 4, "x")))
+    changed = copy.apply(table_update(0, 9, StoredRow("a", 4, "x")))
     assert changed == [StoredRow("b", 9, None)]
     assert list(copy.rows) == ["a"]
 
 
-def test_older_news_are_not_taken_for_recent():
+def test_older_update_does_not_refresh_copy():
     copy = make_copy(5, StoredRow("a", 4, "x"))
-    before_s = copy.answered_s
-    assert copy.fit(news(3, 4)) is NewsFit.OLD
-    assert copy.take_news(StoreNews(TABLE, 3, 4, 99.0)) == []
-    assert copy.answered_s == before_s
+    previous_answered_s = copy.answered_s
+    assert copy.status_of(table_update(3, 4)) is UpdateStatus.OUTDATED
+    assert copy.apply(StoreNews(TABLE, 3, 4, 99.0)) == []
+    assert copy.answered_s == previous_answered_s
 
 
-def test_a_row_that_changed_there_and_back_is_told():
+def test_reverted_row_is_included_in_update():
     """A copy of a version in between has the other state."""
     reader = make_copy(5, StoredRow("a", 4, "x"), StoredRow("b", 5, "x"))
     other = make_copy(5, StoredRow("a", 4, "x"), StoredRow("b", 5, "x"))
-    other.take_read(news(5, 7, StoredRow("a", 7, "y")))
+    other.apply_read(table_update(5, 7, StoredRow("a", 7, "y")))
     before = dict(reader.rows)
     beat = StoredRow("b", 6, "x")
-    read = news(5, 8, beat, StoredRow("a", 7, "y"), StoredRow("a", 8, "x"))
-    assert reader.take_read(read) == []
-    told = reader.make_news(read, before)
-    assert told.rows == [StoredRow("a", 8, "x")]
-    assert other.take_news(told) == [StoredRow("a", 8, "x")]
+    read = table_update(5, 8, beat, StoredRow("a", 7, "y"), StoredRow("a", 8, "x"))
+    assert reader.apply_read(read) == []
+    sent = reader.make_update(read, before)
+    assert sent.rows == [StoredRow("a", 8, "x")]
+    assert other.apply(sent) == [StoredRow("a", 8, "x")]
 
 
-def test_what_others_told_while_a_read_was_open_is_told_with_it():
+def test_changes_received_during_read_are_included_in_update():
     """A copy of the version that the read began from has not heard of it."""
     reader = make_copy(5, StoredRow("a", 4, "x"))
     before = dict(reader.rows)
-    reader.take_news(news(5, 7, StoredRow("a", 7, "y")))
-    read = news(5, 8, StoredRow("a", 7, "y"), StoredRow("a", 8, "y"))
-    reader.take_read(read)
+    reader.apply(table_update(5, 7, StoredRow("a", 7, "y")))
+    read = table_update(5, 8, StoredRow("a", 7, "y"), StoredRow("a", 8, "y"))
+    reader.apply_read(read)
     other = make_copy(6, StoredRow("a", 4, "x"))
-    other.take_news(reader.make_news(read, before))
+    other.apply(reader.make_update(read, before))
     assert other.rows["a"].value == "y"
 
 
-def test_a_whole_table_tells_of_rows_that_were_written_anew():
+def test_full_table_replaces_rows_with_lower_row_version():
     """Its sender did not see the change there and back, so the row's version is old."""
     copy = make_copy(5, StoredRow("a", 4, "x"))
-    copy.take_read(news(5, 7, StoredRow("a", 6, "y")))
-    copy.take_news(news(0, 9, StoredRow("a", 4, "x")))
+    copy.apply_read(table_update(5, 7, StoredRow("a", 6, "y")))
+    copy.apply(table_update(0, 9, StoredRow("a", 4, "x")))
     assert copy.rows["a"].value == "x"
 
 
-def test_a_read_with_several_changes_of_a_row_ends_with_the_last():
+def test_last_change_of_row_in_read_wins():
     """The store's feed has each change in order; others had told of the last one.
 
     The first was taken for a change and the last not, and a leaving endpoint got
     requests again: 14 on 2 of 17 days of leaving endpoints.
     """
     copy = make_copy(5, StoredRow("a", 4, "ready"))
-    copy.take_news(news(5, 8, StoredRow("a", 8, "draining")))
-    read = news(5, 9, StoredRow("a", 7, "ready"), StoredRow("a", 8, "draining"))
-    assert copy.take_read(read) == []
+    copy.apply(table_update(5, 8, StoredRow("a", 8, "draining")))
+    read = table_update(5, 9, StoredRow("a", 7, "ready"), StoredRow("a", 8, "draining"))
+    assert copy.apply_read(read) == []
     assert copy.rows["a"].value == "draining"
 
 
-def test_a_table_of_an_older_store_replaces_what_it_had_lost():
+def test_full_table_of_later_era_replaces_lost_rows():
     copy = make_copy(5, StoredRow("a", 2, "x"), StoredRow("b", 5, "y"))
     older = StoreNews(TABLE, 0, 3, 1.0, [StoredRow("a", 3, "z")], 1)
-    assert copy.take_news(older) == [StoredRow("a", 3, "z"), StoredRow("b", 3, None)]
+    assert copy.apply(older) == [StoredRow("a", 3, "z"), StoredRow("b", 3, None)]
     assert (copy.era, copy.version, copy.answered_s) == (1, 3, 1.0)
 
 
-def test_changes_of_another_era_do_not_continue_a_copy():
+def test_changes_of_another_era_are_not_applied():
     """Versions are given out again: the same number names another state."""
     copy = make_copy(5, StoredRow("a", 5, "x"))
     later = StoreNews(TABLE, 5, 6, 6.0, [StoredRow("b", 6, "y")], 1)
-    assert copy.fit(later) is NewsFit.GAP
-    copy.take_news(StoreNews(TABLE, 0, 2, 7.0, [StoredRow("a", 2, "z")], 1))
-    assert copy.fit(news(0, 9)) is NewsFit.OLD
+    assert copy.status_of(later) is UpdateStatus.GAP
+    copy.apply(StoreNews(TABLE, 0, 2, 7.0, [StoredRow("a", 2, "z")], 1))
+    assert copy.status_of(table_update(0, 9)) is UpdateStatus.OUTDATED
 
 
-class CopiesMachine(RuleBasedStateMachine):
+class TableCopyMachine(RuleBasedStateMachine):
     """A table with a history; copies read it and tell each other in any order.
 
     It comes back older, and gives out versions again, in a later era.
@@ -124,8 +124,8 @@
         self.history = {(1, 1): dict(self.rows)}
         self.copies = [TableCopy(TABLE) for _ in range(COPIES)]
         self.latest = [(0, 0)] * COPIES
-        self.begun = []
-        self.on_way = []
+        self.open_reads = []
+        self.in_flight = []
 
     @rule(key=KEY, value=st.sampled_from(["x", "y", None]))
     def write(self, key, value):
@@ -153,52 +153,52 @@
         self.changes = [row for row in self.changes if row.version <= version]
         self.history |= {(self.era, number): rows for number, rows in lasting.items()}
 
-    @rule(who=WHO, is_whole=st.booleans())
-    def begin_read(self, who, is_whole):
-        copy = self.copies[who]
+    @rule(copy_index=COPY_INDEX, is_whole=st.booleans())
+    def begin_read(self, copy_index, is_whole):
+        copy = self.copies[copy_index]
         after = 0 if is_whole or copy.era != self.era else copy.version
         changes = self.changes if after else self.rows.values()
         read = [row for row in changes if row.version > after]
-        answer = news(after, self.version, *read)
+        answer = table_update(after, self.version, *read)
         answer = msgspec.structs.replace(answer, era=self.era)
-        self.begun.append((who, answer, dict(copy.rows)))
+        self.open_reads.append((copy_index, answer, dict(copy.rows)))
 
     @rule(index=st.integers(0, 5))
     def end_read(self, index):
-        if index >= len(self.begun):
+        if index >= len(self.open_reads):
             return
-        who, read, before = self.begun.pop(index)
-        copy = self.copies[who]
+        copy_index, read, before = self.open_reads.pop(index)
+        copy = self.copies[copy_index]
         is_first = not copy.version
-        if copy.fit(read) is not NewsFit.FITS:
+        if copy.status_of(read) is not UpdateStatus.APPLICABLE:
             return
-        copy.take_read(read)
+        copy.apply_read(read)
         if not is_first:
-            self.on_way.append(copy.make_news(read, before))
+            self.in_flight.append(copy.make_update(read, before))
 
-    @rule(who=WHO, key=KEY, is_told=st.booleans())
-    def write_and_read(self, who, key, is_told):
+    @rule(copy_index=COPY_INDEX, key=KEY, is_sent=st.booleans())
+    def write_and_read(self, copy_index, key, is_sent):
         """Do the usual in one step; what the reader tells may get lost."""
         self.write(key, f"v{self.era}.{self.version}")
-        self.begin_read(who, is_whole=False)
-        told = len(self.on_way)
-        self.end_read(len(self.begun) - 1)
-        if not is_told:
-            del self.on_way[told:]
-
-    @rule(index=st.integers(0, 5), who=WHO, is_lost=st.booleans())
-    def deliver(self, index, who, is_lost):
-        if index >= len(self.on_way):
+        self.begin_read(copy_index, is_whole=False)
+        sent = len(self.in_flight)
+        self.end_read(len(self.open_reads) - 1)
+        if not is_sent:
+            del self.in_flight[sent:]
+
+    @rule(index=st.integers(0, 5), copy_index=COPY_INDEX, is_lost=st.booleans())
+    def deliver(self, index, copy_index, is_lost):
+        if index >= len(self.in_flight):
             return
-        self.copies[who].take_news(self.on_way[index])
+        self.copies[copy_index].apply(self.in_flight[index])
         if is_lost:
-            self.on_way.pop(index)
+            self.in_flight.pop(index)
 
     @invariant()
     def copies_never_go_back(self):
-        for who, copy in enumerate(getattr(self, "copies", ())):
-            assert (copy.era, copy.version) >= self.latest[who]
-            self.latest[who] = (copy.era, copy.version)
+        for copy_index, copy in enumerate(getattr(self, "copies", ())):
+            assert (copy.era, copy.version) >= self.latest[copy_index]
+            self.latest[copy_index] = (copy.era, copy.version)
 
     @invariant()
     def copies_hold_what_the_table_held(self):
@@ -209,5 +209,5 @@
                 assert known == {key: row.value for key, row in held.items()}
 
 
-CopiesMachine.TestCase.settings = settings(max_examples=500, stateful_step_count=40)
-TestCopies = CopiesMachine.TestCase
+TableCopyMachine.TestCase.settings = settings(max_examples=500, stateful_step_count=40)
+TestTableCopies = TableCopyMachine.TestCase
--- a/tests/watching/test_watch.py
+++ b/tests/watching/test_watch.py
@@ -14,23 +14,23 @@
 from chutelink.store import Row, RowPage, WatchedTable
 from chutelink.store.http import SECOND_TRY_SHARE
 from chutelink.watching.timing import (
-    FIRST_SHARE,
-    MAX_RANK,
-    RANK_SHARE,
-    RETRY_S,
-    RETRY_SPREAD,
-    RETURN_S,
-    longest_timeout_s,
+    FIRST_BACKUP_SHARE,
+    MAX_RANK_STEPS,
+    MIN_RETRY_PAUSE_S,
+    RANK_DELAY_SHARE,
+    REREGISTRATION_S,
+    RETRY_JITTER,
+    max_timeout_s,
 )
 from chutelink.watching.watch import StoreWatch
 
 from ..fakes import make_core
 
-SHORTEST_BOUND_S = 2.0
+STALENESS_BOUND_S = 2.0
 """The shortest time in which a change must be in force anywhere."""
-CALL_S = 0.5
+SLOW_ANSWER_S = 0.5
 """How long a slow store takes to answer."""
-QUICK_CALL_S = 0.1
+QUICK_ANSWER_S = 0.1
 """How long one in good order takes at most."""
 DEPLOYED_SETTINGS = Path(__file__).parents[2] / "deploy" / "entry.ini"
 
@@ -41,8 +41,8 @@
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
         self.version = 0
-        self.is_out = False
-        self.has_history = True
+        self.is_down = False
+        self.keeps_history = True
         self.calls = 0
         self.now_s = 1000.0
 
@@ -57,7 +57,7 @@
 
     async def async_watch(self, prefix, after_version, wait_s):
         self._call()
-        if not self.has_history:
+        if not self.keeps_history:
             raise HistoryLost("gone", step="test")
         rows = [r for r in self.rows.values() if r.version > after_version]
         return RowPage(self.version, rows, self.now_s)
@@ -67,25 +67,25 @@
 
     def _call(self):
         self.calls += 1
-        if self.is_out:
+        if self.is_down:
             raise PlatformUnavailable("outage", step="test")
 
 
-class Watcher:
+class DaemonUnderTest:
     def __init__(self, table, rank=0):
         self.core = make_core()
         self.core.clock = lambda: table.now_s - 900.0
         self.sent = []
         self.rows = []
         self.watch = StoreWatch(
-            self.core, table, {"t": SHORTEST_BOUND_S}, lambda: rank, self.sent.append
+            self.core, table, {"t": STALENESS_BOUND_S}, lambda: rank, self.sent.append
         )
         self.watch.reply = lambda daemon, news: self.sent.append(news)
         self.watch.on_row = lambda change: self.rows.append((change.key, change.value))
         self.state = self.watch._tables["t"]
 
     def pull(self):
-        asyncio.run(self.watch._async_pull(self.state))
+        asyncio.run(self.watch._async_refresh(self.state))
 
 
 @pytest.fixture
@@ -95,8 +95,8 @@
     return table
 
 
-def test_what_one_reads_the_others_take_in(table):
-    reader, other = Watcher(table), Watcher(table, rank=3)
+def test_reader_updates_other_daemons(table):
+    reader, other = DaemonUnderTest(table), DaemonUnderTest(table, rank=3)
     reader.pull()
     other.pull()
     assert reader.sent == []
@@ -109,42 +109,52 @@
     assert table.calls == 3
 
 
-def test_the_last_in_rank_knows_within_the_bound_though_its_first_call_fails():
+def test_last_rank_meets_bound_when_first_call_fails():
     """Whether nobody answers the first try of the call, or the whole call fails."""
     parser = configparser.ConfigParser()
     parser.read(DEPLOYED_SETTINGS)
     limit_s = parser.getfloat("platform", "timeout_s")
-    assert limit_s <= longest_timeout_s(SHORTEST_BOUND_S)
-    last_rank_s = (FIRST_SHARE + MAX_RANK * RANK_SHARE) * SHORTEST_BOUND_S
+    assert limit_s <= max_timeout_s(STALENESS_BOUND_S)
+    last_rank_s = (
+        FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
+    ) * STALENESS_BOUND_S
     second_try_s = SECOND_TRY_SHARE * limit_s
-    assert last_rank_s + second_try_s + CALL_S <= SHORTEST_BOUND_S
+    assert last_rank_s + second_try_s + SLOW_ANSWER_S <= STALENESS_BOUND_S
     assert (
-        last_rank_s + RETRY_S * RETRY_SPREAD + second_try_s + QUICK_CALL_S
-        <= SHORTEST_BOUND_S
+        last_rank_s + MIN_RETRY_PAUSE_S * RETRY_JITTER + second_try_s + QUICK_ANSWER_S
+        <= STALENESS_BOUND_S
     )
 
 
-@pytest.mark.parametrize("bound_s", [1.5, 2.0, 3.0, 10.0])
-def test_a_time_limit_that_fits_keeps_the_last_in_rank_within_any_bound(bound_s):
-    limit_s = longest_timeout_s(bound_s)
-    last_rank_s = (FIRST_SHARE + MAX_RANK * RANK_SHARE) * bound_s
+@pytest.mark.parametrize("staleness_bound_s", [1.5, 2.0, 3.0, 10.0])
+def test_max_timeout_keeps_last_rank_within_bound(
+    staleness_bound_s,
+):
+    limit_s = max_timeout_s(staleness_bound_s)
+    last_rank_s = (
+        FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
+    ) * staleness_bound_s
     second_try_s = SECOND_TRY_SHARE * limit_s
-    slow_s = last_rank_s + second_try_s + CALL_S
-    failed_s = last_rank_s + RETRY_S * RETRY_SPREAD + second_try_s + QUICK_CALL_S
-    assert max(slow_s, failed_s) <= bound_s + 1e-9
+    slow_s = last_rank_s + second_try_s + SLOW_ANSWER_S
+    failed_s = (
+        last_rank_s + MIN_RETRY_PAUSE_S * RETRY_JITTER + second_try_s + QUICK_ANSWER_S
+    )
+    assert max(slow_s, failed_s) <= staleness_bound_s + 1e-9
 
 
-def test_a_daemon_that_hears_nothing_reads_within_the_bound(table):
-    last_rank_s = (FIRST_SHARE + MAX_RANK * RANK_SHARE) * SHORTEST_BOUND_S
-    assert last_rank_s + CALL_S < SHORTEST_BOUND_S
-    other = Watcher(table, rank=100)
+def test_daemon_without_updates_reads_within_bound(table):
+    last_rank_s = (
+        FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
+    ) * STALENESS_BOUND_S
+    assert last_rank_s + SLOW_ANSWER_S < STALENESS_BOUND_S
+    other = DaemonUnderTest(table, rank=100)
     other.pull()
     table.now_s += last_rank_s + 0.01
     assert other.watch._pause_s(other.state) <= 0
 
 
-def test_news_behind_a_gap_is_left_to_an_own_read(table):
-    other = Watcher(table, rank=2)
+def test_update_after_gap_is_left_to_next_read(table):
+    other = DaemonUnderTest(table, rank=2)
     other.pull()
     table.now_s += 5.0
     other.watch.take_news(
@@ -154,20 +164,20 @@
     assert other.watch._pause_s(other.state) <= 0
 
 
-def test_lost_history_is_made_good_by_a_whole_read(table):
-    reader = Watcher(table)
+def test_lost_history_causes_full_read(table):
+    reader = DaemonUnderTest(table)
     reader.pull()
     table.put("t/b", 2)
     table.put("t/a", None)
-    table.has_history = False
+    table.keeps_history = False
     reader.pull()
     assert sorted(reader.rows[1:], key=str) == [("t/a", None), ("t/b", 2)]
     assert reader.sent[0].after == 0
 
 
-def test_old_rows_never_come_back(table):
+def test_outdated_rows_are_ignored(table):
     """Neither as changes nor with a whole table of an earlier version."""
-    reader = Watcher(table)
+    reader = DaemonUnderTest(table)
     table.put("t/a", 2)
     table.put("t/b", 1)
     reader.pull()
@@ -179,30 +189,30 @@
     assert reader.state.copy.answered_s == table.now_s
 
 
-def test_a_daemon_without_the_store_asks_the_others(table):
-    reader, lonely = Watcher(table), Watcher(table)
+def test_daemon_without_store_requests_snapshot(table):
+    reader, isolated = DaemonUnderTest(table), DaemonUnderTest(table)
     reader.pull()
-    table.is_out = True
+    table.is_down = True
     with pytest.raises(PlatformUnavailable) as caught:
-        lonely.pull()
-    lonely.watch._note_failure(lonely.state, caught.value)
-    request = lonely.sent[0]
+        isolated.pull()
+    isolated.watch._record_failure(isolated.state, caught.value)
+    request = isolated.sent[0]
     assert request == SnapshotRequest("t", "d1")
     reader.watch.take_request(request)
-    lonely.watch.take_news(reader.sent[0], "d2")
-    assert lonely.rows == [("t/a", 1)]
-    assert lonely.watch.has_read("t")
+    isolated.watch.take_news(reader.sent[0], "d2")
+    assert isolated.rows == [("t/a", 1)]
+    assert isolated.watch.has_read("t")
 
 
-def test_removals_within_two_seconds_of_an_outages_end_may_be_undone(table):
-    reader, other = Watcher(table), Watcher(table, rank=3)
+def test_removals_shortly_after_outage_allow_reregistration(table):
+    reader, other = DaemonUnderTest(table), DaemonUnderTest(table, rank=3)
     seen = []
     for watcher in (reader, other):
         watcher.watch.on_row = lambda change: seen.append(
             (change.value, change.back_until_s)
         )
         watcher.pull()
-    table.now_s += SHORTEST_BOUND_S + 0.1
+    table.now_s += STALENESS_BOUND_S + 0.1
     seen.clear()
     table.put("t/a", None)
     reader.pull()
@@ -210,15 +220,15 @@
     for value, back_until_s in seen:
         assert value is None
         back_in_s = back_until_s - reader.core.clock()
-        assert RETURN_S - 0.01 < back_in_s <= RETURN_S
+        assert REREGISTRATION_S - 0.01 < back_in_s <= REREGISTRATION_S
     assert len(seen) == 2
 
 
-def test_after_a_shorter_gap_removals_are_final(table):
-    reader = Watcher(table)
+def test_removals_after_short_gap_are_final(table):
+    reader = DaemonUnderTest(table)
     reader.pull()
-    table.now_s += SHORTEST_BOUND_S - 0.1
-    reader.watch._note_failure(reader.state, PlatformUnavailable("x", step="test"))
+    table.now_s += STALENESS_BOUND_S - 0.1
+    reader.watch._record_failure(reader.state, PlatformUnavailable("x", step="test"))
     seen = []
     reader.watch.on_row = lambda change: seen.append(
         reader.core.clock() < change.back_until_s
@@ -228,8 +238,8 @@
     assert seen == [False]
 
 
-def test_signs_of_life_are_not_passed_on(table):
-    reader, other = Watcher(table), Watcher(table, rank=2)
+def test_heartbeats_are_not_broadcast(table):
+    reader, other = DaemonUnderTest(table), DaemonUnderTest(table, rank=2)
     reader.watch.compact = lambda key, value: value // 10
     reader.pull()
     other.pull()
