--- a/tests/watching/leaving_soak.py
+++ b/tests/watching/leaving_soak.py
@@ -1,9 +1,9 @@
-"""Random trouble around leaving endpoints, in virtual time: the same for each seed.
+"""Soak test of leaving endpoints under random faults, in virtual time.
 
-Daemons lose the store, hear late, get late answers or none; the store forgets its
-history, is away now and then, and comes back from an older copy. Daemons in good order
-must never send to an endpoint that left longer ago than the bound, and no daemon to one
-that it knew to leave.
+Each seed is deterministic. Daemons lose the store, get late answers, and send updates
+late or not at all; the store drops its history, has outages, and is restored from older
+backups. Healthy daemons must never use an endpoint that left longer ago than the
+staleness bound, and no daemon one that it has dropped.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 from .watching_fleet import SimulatedDaemon, SimulatedFleet, async_fleet
 
 MEAN_EVENT_INTERVAL_S = 0.6
-"""Mean time between two events."""
+"""Mean time between two random events."""
 MAX_FAULT_S = 4.0
 MAX_UPDATE_DELAY_S = 2.5
 MIN_ENDPOINTS = 3
 MAX_BACKUP_AGE_S = 6.0
-"""How much may be lost when the store comes back from a copy."""
+"""Maximum age of a backup from which the store is restored."""
 MAX_DOWNTIME_S = 3.0
 REWRITE_RETRY_S = 0.2
 REREGISTRATION_S = 1.9
-"""When live endpoints that lapsed in an outage are back at the latest."""
+"""Latest time after an outage at which live endpoints have registered again."""
 
 
 class Soak:
-    """Lets things happen to a fleet at random moments."""
+    """Injects random events into a fleet."""
 
     def __init__(self, fleet: SimulatedFleet) -> None:
         self._fleet = fleet
         self._rng = fleet.rng
         self._next_number = 100
         self._events: list[Callable[[], object]] = [
-            self._remove_endpoint,
-            self._remove_endpoint,
-            self._remove_endpoint,
+            self._make_endpoint_leave,
+            self._make_endpoint_leave,
+            self._make_endpoint_leave,
             self._add_endpoint,
             self._add_endpoint,
             self._inject_fault,
@@ -74,7 +74,7 @@
             if row.value is not None and row.value["state"] == "ready"
         ]
 
-    def _remove_endpoint(self) -> None:
+    def _make_endpoint_leave(self) -> None:
         ready = self._ready_endpoints()
         if len(ready) <= MIN_ENDPOINTS or self._fleet.store.is_down:
             return
@@ -93,41 +93,43 @@
         self._fleet.store.drop_history()
 
     def _inject_fault(self) -> None:
-        """Put one daemon in trouble, most often one that reads for others."""
+        """Inject a fault at one daemon, most often one of low rank."""
         rank = min(int(self._rng.expovariate(0.6)), len(self._fleet.daemons) - 1)
         daemon = self._fleet.daemons[rank]
         if daemon.healthy_since_s == float("inf"):
             return
         daemon.healthy_since_s = float("inf")
-        kind = self._rng.choice(
+        inject_fault = self._rng.choice(
             [self._disconnect, self._delay_answers, self._delay_updates]
         )
-        end = kind(daemon)
+        clear_fault = inject_fault(daemon)
         time_s = self._rng.uniform(0.1, MAX_FAULT_S)
         loop = asyncio.get_running_loop()
-        loop.call_later(time_s, self._clear_fault, daemon, end)
+        loop.call_later(time_s, self._clear_fault, daemon, clear_fault)
 
-    def _clear_fault(self, daemon: SimulatedDaemon, end: Callable[[], None]) -> None:
-        end()
+    def _clear_fault(
+        self, daemon: SimulatedDaemon, clear_fault: Callable[[], None]
+    ) -> None:
+        clear_fault()
         daemon.connection.is_connection_stale = self._rng.random() < 0.5
         daemon.healthy_since_s = asyncio.get_running_loop().time()
 
     def _disconnect(self, daemon: SimulatedDaemon) -> Callable[[], None]:
         daemon.connection.is_disconnected = True
 
-        def end() -> None:
+        def clear_fault() -> None:
             daemon.connection.is_disconnected = False
 
-        return end
+        return clear_fault
 
     def _delay_answers(self, daemon: SimulatedDaemon) -> Callable[[], None]:
         delay_s = self._rng.uniform(0.0, 1.0)
         daemon.connection.answer_delay_s = lambda: delay_s * self._rng.random()
 
-        def end() -> None:
+        def clear_fault() -> None:
             daemon.connection.answer_delay_s = lambda: 0.0
 
-        return end
+        return clear_fault
 
     def _delay_updates(self, daemon: SimulatedDaemon) -> Callable[[], None]:
         delay_s = self._rng.uniform(0.0, MAX_UPDATE_DELAY_S)
@@ -139,13 +141,16 @@
 
         daemon.update_delay_s = update_delay_s
 
-        def end() -> None:
+        def clear_fault() -> None:
             daemon.update_delay_s = lambda _: 0.0
 
-        return end
+        return clear_fault
 
     def _begin_outage(self) -> None:
-        """Let the store be away; some live endpoints lapse and come back."""
+        """Begin an outage of the store.
+
+        When it ends, some live endpoints have lapsed and register again.
+        """
         store = self._fleet.store
         if store.is_down:
             return
@@ -155,7 +160,7 @@
         loop.call_later(self._rng.uniform(0.3, MAX_FAULT_S), self._end_outage)
 
     def _schedule_restore(self) -> None:
-        """Let the store be away for a moment and come back from a copy."""
+        """Take a backup now, and restore the store from it later."""
         store = self._fleet.store
         if store.is_down:
             return
@@ -176,31 +181,31 @@
         loop.call_later(away_s, self._finish_restore, backup)
 
     def _finish_restore(self, backup: tuple[dict[str, Row], int]) -> None:
-        """Come back older; endpoints write what they had written again, in a while."""
+        """Restore the backup; endpoints write their rows again after a random delay."""
         store = self._fleet.store
-        held = dict(store.rows)
+        previous_rows = dict(store.rows)
         store.restore(backup)
         store.is_down = False
         loop = asyncio.get_running_loop()
         store.healthy_since_s = loop.time()
-        for key, row in held.items():
+        for key, row in previous_rows.items():
             name = key.partition("/")[2]
-            again = functools.partial(self._rewrite_row, name, row)
-            loop.call_later(self._rng.uniform(0.0, REREGISTRATION_S), again)
+            rewrite = functools.partial(self._rewrite_row, name, row)
+            loop.call_later(self._rng.uniform(0.0, REREGISTRATION_S), rewrite)
 
     def _rewrite_row(self, name: str, row: Row) -> None:
-        """Write a row as it was, unless its endpoint has begun to leave since."""
+        """Write a row as before the restore, unless its endpoint leaves by now."""
         store = self._fleet.store
         if store.is_down:
-            again = functools.partial(self._rewrite_row, name, row)
-            asyncio.get_running_loop().call_later(REWRITE_RETRY_S, again)
+            rewrite = functools.partial(self._rewrite_row, name, row)
+            asyncio.get_running_loop().call_later(REWRITE_RETRY_S, rewrite)
             return
-        found = store.rows.get(row.key)
-        is_gone = EndpointId(name) in store.leaving_since_s
+        current = store.rows.get(row.key)
+        has_left = EndpointId(name) in store.leaving_since_s
         if row.value is None:
-            if found is not None and found.value is not None:
+            if current is not None and current.value is not None:
                 store.remove(name, is_leaving=False)
-        elif not is_gone or row.value["state"] == "draining":
+        elif not has_left or row.value["state"] == "draining":
             store.register(name, row.value["state"])
 
     def _end_outage(self) -> None:
@@ -209,21 +214,21 @@
         for name in self._ready_endpoints():
             if self._rng.random() < 0.3:
                 store.remove(name, is_leaving=False)
-                back_s = self._rng.uniform(0.1, REREGISTRATION_S)
-                loop.call_later(back_s, store.register, name)
+                delay_s = self._rng.uniform(0.1, REREGISTRATION_S)
+                loop.call_later(delay_s, store.register, name)
         store.is_down = False
         store.healthy_since_s = loop.time()
 
 
 async def async_soak(seed: int, time_s: float) -> None:
-    """Run one seed; fails with what was sent where how late."""
+    """Run one seed; a failure lists the daemons, endpoints and times."""
     async with async_fleet(daemon_count=3 + seed % 6, seed=seed, endpoints=6) as fleet:
         fleet.start_task(fleet.async_write_heartbeats())
         await Soak(fleet).async_run(time_s)
 
 
 def main() -> int:
-    """Run seeds one after the other and print those that fail."""
+    """Run seeds one after the other, and print those that fail."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
--- a/tests/watching/test_leaving.py
+++ b/tests/watching/test_leaving.py
@@ -1,20 +1,17 @@
 """No request reaches an endpoint over two seconds after the store says it leaves.
 
-What callers saw: nothing; their requests were answered by an endpoint that was on
-its way out, and would have failed had it gone a little sooner. Order of events: the
-daemon that reads the store for all loses one call, though the store is well; it
-reads again; an endpoint leaves by removing its registration; the reader takes the
-removal for one of an outage, after which live endpoints come back, and says so to
-all; all keep the endpoint for 1.8 s from then on, and up to 0.2 s longer until they
-look. With the 0 to 0.4 s until the removal was read that is up to 2.4 s.
-
-Evidence: in plays where the reader alone was cut off for 0.5 to 1.2 s,
-``endpoint_lapsed`` at all seven daemons 0.18 s after the store's acknowledgement, the
-last request 2.05 to 2.13 s after it, ``endpoint_gone reason=lapsed`` after that. The
-same shape as the incident: one request, sent at once, answered whole.
-
-The other tests are of the same class: knowledge that is taken for newer, or for more
-complete, than it is.
+Guards against a daemon that treats a failed call of its own as an outage of the store.
+The reading daemon loses one call and reads again; an endpoint then leaves by removing
+its registration. All daemons take the removal for a row that lapsed in an outage, and
+keep the endpoint usable for 1.8 s, up to 0.2 s more until the next expiry, after the 0
+to 0.4 s until the removal is read: up to 2.4 s in all. In simulations with the reader
+disconnected for 0.5 to 1.2 s, all seven daemons logged ``endpoint_lapsed`` 0.18 s after
+the store's acknowledgement, the last request was sent 2.05 to 2.13 s after it and
+answered in full, and ``endpoint_gone reason=lapsed`` followed. It would have failed if
+the endpoint had ended sooner.
+
+The other tests guard against data that is taken for newer, or for more complete, than
+it is.
 """
 
 from __future__ import annotations
@@ -27,7 +24,7 @@
 
 NEVER_S = float("inf")
 SOAK_SEEDS = (*range(1, 21), 1082, 1158, 3078)
-"""The last three failed once, on codes or models of the store before."""
+"""The last three failed once, on earlier code or with earlier models of the store."""
 SOAK_S = 40.0
 
 
@@ -48,7 +45,7 @@
 
 
 def test_delayed_updates_count_with_their_real_age():
-    """A reader whose links are slow tells all in time that it has read, not what."""
+    """Updates that are delayed by 1.9 s must not make copies count as just read."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -94,17 +91,17 @@
                 store.is_down = False
                 for _ in range(190):
                     await asyncio.sleep(0.01)
-                    assert all("e1" in f.usable() for f in fleet.daemons)
+                    assert all("e1" in daemon.usable() for daemon in fleet.daemons)
                 store.register("e1")
                 await asyncio.sleep(2.2)
-                assert all("e1" in f.usable() for f in fleet.daemons)
-                assert not any("e2" in f.usable() for f in fleet.daemons)
+                assert all("e1" in daemon.usable() for daemon in fleet.daemons)
+                assert not any("e2" in daemon.usable() for daemon in fleet.daemons)
 
     run_virtually(async_test())
 
 
 def test_endpoint_that_left_is_not_reused_after_restore():
-    """The older copy shows it as ready until it writes again that it leaves."""
+    """The backup has it as ready until the endpoint writes again that it leaves."""
 
     async def async_test():
         for leave in ("drain", "remove"):
@@ -131,7 +128,7 @@
 
 
 def test_live_endpoints_missing_from_backup_stay_usable_until_reregistered():
-    """Also after an outage that is too short for registrations to lapse."""
+    """Even if the outage was too short for registrations to lapse."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -139,20 +136,20 @@
             backup = store.backup()
             store.register("e8")
             await fleet.async_advance(1.5)
-            assert all("e8" in f.usable() for f in fleet.daemons)
+            assert all("e8" in daemon.usable() for daemon in fleet.daemons)
             store.restore(backup)
             for _ in range(100):
                 await asyncio.sleep(0.01)
-                assert all("e8" in f.usable() for f in fleet.daemons)
+                assert all("e8" in daemon.usable() for daemon in fleet.daemons)
             store.register("e8")
             await asyncio.sleep(4.0)
-            assert all("e8" in f.usable() for f in fleet.daemons)
+            assert all("e8" in daemon.usable() for daemon in fleet.daemons)
 
     run_virtually(async_test())
 
 
 def test_lapsed_endpoint_restored_from_backup_is_reused_if_alive():
-    """Its row had lapsed, and the older copy shows it; dead ones lapse once more."""
+    """The backup has rows that had lapsed; those of dead endpoints lapse again."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -164,11 +161,11 @@
             store.restore(backup)
             for _ in range(350):
                 await asyncio.sleep(0.01)
-                assert not any("e1" in f.usable() for f in fleet.daemons)
+                assert not any("e1" in daemon.usable() for daemon in fleet.daemons)
             store.remove("e2", is_leaving=False)
             await asyncio.sleep(3.0)
-            assert all("e1" in f.usable() for f in fleet.daemons)
-            assert not any("e2" in f.usable() for f in fleet.daemons)
+            assert all("e1" in daemon.usable() for daemon in fleet.daemons)
+            assert not any("e2" in daemon.usable() for daemon in fleet.daemons)
 
     run_virtually(async_test())
 
@@ -180,7 +177,7 @@
 
 
 def test_only_first_rank_reads_store_without_faults():
-    """Calls to the store are charged for: one reads for all while nothing fails."""
+    """Calls to the store are charged for, so rank 0 alone reads while nothing fails."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -192,14 +189,14 @@
 
 
 def test_disconnected_daemon_does_not_infer_store_outage():
-    """A daemon that had heard nothing kept an endpoint that was gone 0.1 s too long.
-
-    What callers saw: a request reached an endpoint 2.11 s after the store had
-    acknowledged that it leaves, 4 ms after it was taken; it was answered whole.
-    Order of events: a daemon is cut off from the store and from the others for some
-    seconds; the cut heals, but its calls to the store pause for up to a second more
-    and its links are not back yet; an endpoint leaves by removing its registration;
-    then the daemon reads the store.
+    """A daemon that received nothing used an endpoint 0.1 s beyond the bound.
+
+    A daemon is disconnected from the store and its peers for some seconds. When the
+    store is reachable again, the daemon's calls pause for up to another second and its
+    links are still down; an endpoint leaves by removing its registration, and then the
+    daemon reads the store. A request reached the endpoint 2.11 s after the store had
+    acknowledged that it leaves, 4 ms after the request was accepted, and was answered
+    in full.
     """
 
     async def async_test():
@@ -222,7 +219,10 @@
 
 
 def test_disconnected_daemon_does_not_count_late_answer_as_store_recovery():
-    """The store came back older while it was cut off, and all is written again."""
+    """The store is restored from a backup while the daemon is disconnected.
+
+    The backup is current, so that no writes are lost.
+    """
 
     async def async_test():
         for seed in range(20):
@@ -245,10 +245,10 @@
 
 
 def test_calls_hanging_for_a_second_are_not_a_store_outage():
-    """The first reader is away, the others read in turn, and their calls hang once.
+    """Rank 0 is disconnected, the others read in turn, and their calls hang once.
 
-    The answers that daemons know of lie over two seconds apart then, though no
-    registration can lapse in so short a time.
+    The known answers of the store are then over two seconds apart, although no
+    registration can lapse in such a short time.
     """
 
     async def async_test():
@@ -269,10 +269,10 @@
 
 
 def test_daemon_rejected_by_store_recovers_missed_changes_from_peers():
-    """What others tell from then on continues from what it never heard.
+    """Updates from its peers follow changes that it never received.
 
-    Its own calls are refused for as long as the store likes, so that it can't fill the
-    gap; the bound holds for it all the same, as its links are in order.
+    The store rejects its calls, so the daemon can't fill the gap by a read. The bound
+    applies all the same, since its links work.
     """
 
     async def async_test():
--- a/tests/watching/test_probing.py
+++ b/tests/watching/test_probing.py
@@ -1,4 +1,4 @@
-"""An outage of the store: it is found again soon, and few calls are spent on it."""
+"""Probes in an outage of the store: few calls, and recovery is detected soon."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_large_fleet_limits_calls_to_unresponsive_store():
-    """Ten seconds without an answer: the first in rank go on as before."""
+    """Low ranks keep probing for ten seconds without an answer; the others back off."""
 
     async def async_test():
         async with async_fleet(DAEMONS) as fleet:
@@ -42,9 +42,12 @@
             fleet.store.is_down = True
             await asyncio.sleep(OUTAGE_S)
             calls = total_calls(fleet) - before
-            first = sum(f.connection.calls for f in fleet.daemons[: MAX_RANK_STEPS + 1])
+            first = sum(
+                daemon.connection.calls
+                for daemon in fleet.daemons[: MAX_RANK_STEPS + 1]
+            )
             assert first >= (MAX_RANK_STEPS + 1) * (OUTAGE_S / (2 * CALL_TIMEOUT_S) - 1)
-            # Each of the others at most once in the bound, after two that come soon.
+            # The others make two early calls, then at most one per staleness bound.
             others = DAEMONS - MAX_RANK_STEPS - 1
             assert (
                 calls < 5 * OUTAGE_S + others * (2 + OUTAGE_S / STALENESS_BOUND_S) / 1.5
@@ -69,30 +72,30 @@
 
 
 def test_isolated_daemon_keeps_probing():
-    """It can't learn from others that the store is back."""
+    """It can't learn from its peers that the store has recovered."""
 
     async def async_test():
         async with async_fleet(DAEMONS) as fleet:
-            alone = fleet.daemons[-1]
-            alone.is_isolated = True
-            alone.connection.is_disconnected = True
-            alone.healthy_since_s = float("inf")
+            isolated = fleet.daemons[-1]
+            isolated.is_isolated = True
+            isolated.connection.is_disconnected = True
+            isolated.healthy_since_s = float("inf")
             await fleet.async_advance(8.0)
-            before = alone.connection.calls
+            before = isolated.connection.calls
             await fleet.async_advance(6.0)
-            # A call takes its limit, pauses of the breaker follow.
-            assert alone.connection.calls - before >= 2
-            alone.connection.is_disconnected = False
+            # Each call lasts until its timeout, and pauses of the breaker follow.
+            assert isolated.connection.calls - before >= 2
+            isolated.connection.is_disconnected = False
             await fleet.async_advance(CALL_TIMEOUT_S + 1.0)
             fleet.store.remove("e1")
             await fleet.async_advance(STALENESS_BOUND_S)
-            assert "e1" not in alone.usable()
+            assert "e1" not in isolated.usable()
 
     run_virtually(async_test())
 
 
 def test_tables_share_probes_in_outage():
-    """One daemon that follows three tables probes with one call at a time."""
+    """A daemon that replicates three tables probes with one call at a time."""
 
     class HangingTable(ScriptedTable):
         def __init__(self) -> None:
@@ -116,7 +119,7 @@
             table.put(f"{name}/a", {"x": 1})
         staleness_bounds_s = dict.fromkeys(names, STALENESS_BOUND_S)
         watch = StoreWatch(
-            core, table, staleness_bounds_s, lambda: 0, lambda news: None
+            core, table, staleness_bounds_s, lambda: 0, lambda message: None
         )
         await watch.start()
         await asyncio.sleep(2.0)
--- a/tests/watching/test_restored_store.py
+++ b/tests/watching/test_restored_store.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, followed over HTTP."""
+"""Replication over HTTP from a store that is restored from an older backup."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 WIRE_TABLE = "servers"
 STALENESS_BOUND_S = 2.0
-"""How soon a change must be known everywhere."""
+"""Time within which every daemon must know a change."""
 TIMEOUT_S = 8.0
-"""Busy machines are slow; a change that is not known by then never is."""
+"""Allows for slow machines; a change not propagated by then never is."""
 DAEMONS = 4
 LINK_DELAY_S = 0.01
 
 
 class FollowingDaemon:
-    """A daemon that follows the endpoints' table, and what it knows of it."""
+    """A daemon that replicates the table of endpoints, and the rows it reported."""
 
     def __init__(self, rank, table, send_update) -> None:
         self.core = make_core(f"d{rank}")
@@ -39,7 +39,7 @@
             table,
             {TABLE_ENDPOINTS: STALENESS_BOUND_S},
             lambda: rank,
-            lambda news: send_update(self, news),
+            lambda update: send_update(self, update),
         )
         self.watch.on_row = self._take_row
 
@@ -52,18 +52,18 @@
 
 
 class Fleet:
-    """A store and the daemons that follow it."""
+    """A store and the daemons that replicate it."""
 
     def __init__(self, store: MetadataStore) -> None:
         self.store = store
         self.daemons: list[FollowingDaemon] = []
 
-    def send_update(self, sender, news) -> None:
+    def send_update(self, sender, update) -> None:
         loop = asyncio.get_running_loop()
         for daemon in self.daemons:
             if daemon is not sender:
                 take = daemon.watch.take_news
-                loop.call_later(LINK_DELAY_S, take, news, sender.core.daemon_id)
+                loop.call_later(LINK_DELAY_S, take, update, sender.core.daemon_id)
 
     def put(self, name, state) -> None:
         self.store.put(WIRE_TABLE, name, {"state": state})
@@ -106,7 +106,7 @@
 
 
 async def async_restore_older(fleet: Fleet, lost_rows: int) -> None:
-    """Take a copy, write on, and let the store come back from the copy."""
+    """Take a backup, write more rows, and restore the store from the backup."""
     copy = fleet.store.copy()
     for number in range(lost_rows):
         fleet.put(f"lost{number}", "ready")
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("lost_rows", [2, 20])
 def test_change_after_restore_is_propagated(lost_rows):
-    """Reads of the older store were dropped until it had given out as many versions."""
+    """Reads were dropped until the store reached the version it had before."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -130,7 +130,7 @@
 
 
 def test_changes_with_reused_versions_are_propagated():
-    """Changes after a known version left out those before it in the older store."""
+    """Reading changes after a version of the old era missed earlier ones of the new."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -139,7 +139,7 @@
             fleet.put("e2", "ready")
             await fleet.async_until(lambda rows: len(rows) == 3)
             fleet.store.restore(copy)
-            # All before any daemon reads: the versions are there again.
+            # Written before any daemon reads, so that the versions are in use again.
             fleet.put("e0", "draining")
             fleet.put("e1", "draining")
             fleet.put("e3", "ready")
@@ -150,7 +150,7 @@
 
 
 def test_restored_store_is_not_polled_without_pause():
-    """A read that was dropped was followed by the next one at once."""
+    """A read that could not be applied was repeated at once."""
 
     async def async_test():
         async with async_fleet() as fleet:
@@ -159,7 +159,7 @@
             started_s = asyncio.get_running_loop().time()
             await asyncio.sleep(1.0)
             took_s = asyncio.get_running_loop().time() - started_s
-            # Lost history takes two calls.
+            # A read with lost history takes two calls.
             periods = 1 + took_s / (MIN_INTERVAL_SHARE * STALENESS_BOUND_S)
             assert fleet.store.calls - calls <= 2 * DAEMONS * periods
 
--- a/tests/watching/test_storeclock.py
+++ b/tests/watching/test_storeclock.py
@@ -1,4 +1,4 @@
-"""Ages by the store's clock, whatever the way of an answer."""
+"""Ages by the store's clock, whatever the delay of answers."""
 
 from __future__ import annotations
 
@@ -50,5 +50,5 @@
         now_s += wait_s
         for at_s in answers:
             max_age_s = clock.max_age_s(offset_s + rate * at_s, now_s)
-            # By the store's own seconds.
+            # The age is counted in seconds of the store's clock.
             assert max_age_s >= rate * (now_s - at_s) - 1e-6
--- a/tests/watching/test_tablecopy.py
+++ b/tests/watching/test_tablecopy.py
@@ -1,8 +1,9 @@
-"""Copies of a table that tell each other what they read, whatever gets lost.
+"""Consistency of table copies that exchange updates, with messages lost.
 
-What users saw of it in plays: nothing yet. A daemon that had missed one message took
-the version of a whole table of which it was sent the differences alone, and went on
-using a registration that had been replaced.
+Guards against a copy that adopts the version of an update without having all changes
+up to it. A daemon that had missed one message adopted the version of a full table of
+which it was sent only the differences, and kept using a replaced registration. No
+effect on users was seen in simulations.
 """
 
 from __future__ import annotations
@@ -47,13 +48,13 @@
 
 
 def test_reverted_row_is_included_in_update():
-    """A copy of a version in between has the other state."""
+    """A copy of a version in between has the other value."""
     reader = make_copy(5, StoredRow("a", 4, "x"), StoredRow("b", 5, "x"))
     other = make_copy(5, StoredRow("a", 4, "x"), StoredRow("b", 5, "x"))
     other.apply_read(table_update(5, 7, StoredRow("a", 7, "y")))
     before = dict(reader.rows)
-    beat = StoredRow("b", 6, "x")
-    read = table_update(5, 8, beat, StoredRow("a", 7, "y"), StoredRow("a", 8, "x"))
+    heartbeat = StoredRow("b", 6, "x")
+    read = table_update(5, 8, heartbeat, StoredRow("a", 7, "y"), StoredRow("a", 8, "x"))
     assert reader.apply_read(read) == []
     sent = reader.make_update(read, before)
     assert sent.rows == [StoredRow("a", 8, "x")]
@@ -61,7 +62,7 @@
 
 
 def test_changes_received_during_read_are_included_in_update():
-    """A copy of the version that the read began from has not heard of it."""
+    """A copy at the base version of the read may not have received them."""
     reader = make_copy(5, StoredRow("a", 4, "x"))
     before = dict(reader.rows)
     reader.apply(table_update(5, 7, StoredRow("a", 7, "y")))
@@ -73,7 +74,7 @@
 
 
 def test_full_table_replaces_rows_with_lower_row_version():
-    """Its sender did not see the change there and back, so the row's version is old."""
+    """The sender did not see the row change and change back, so its version is old."""
     copy = make_copy(5, StoredRow("a", 4, "x"))
     copy.apply_read(table_update(5, 7, StoredRow("a", 6, "y")))
     copy.apply(table_update(0, 9, StoredRow("a", 4, "x")))
@@ -81,10 +82,10 @@
 
 
 def test_last_change_of_row_in_read_wins():
-    """The store's feed has each change in order; others had told of the last one.
+    """A read has several changes of a row, and the copy already has the last one.
 
-    The first was taken for a change and the last not, and a leaving endpoint got
-    requests again: 14 on 2 of 17 days of leaving endpoints.
+    The first was applied as a change and the last was not, so a leaving endpoint got
+    requests again: 14 on 2 of 17 simulated days with leaving endpoints.
     """
     copy = make_copy(5, StoredRow("a", 4, "ready"))
     copy.apply(table_update(5, 8, StoredRow("a", 8, "draining")))
@@ -101,7 +102,7 @@
 
 
 def test_changes_of_another_era_are_not_applied():
-    """Versions are given out again: the same number names another state."""
+    """Versions are reused in a new era: the same number denotes another state."""
     copy = make_copy(5, StoredRow("a", 5, "x"))
     later = StoreNews(TABLE, 5, 6, 6.0, [StoredRow("b", 6, "y")], 1)
     assert copy.status_of(later) is UpdateStatus.GAP
@@ -110,9 +111,10 @@
 
 
 class TableCopyMachine(RuleBasedStateMachine):
-    """A table with a history; copies read it and tell each other in any order.
+    """A table with a history, whose copies read it and exchange updates in any order.
 
-    It comes back older, and gives out versions again, in a later era.
+    The table can be restored to an earlier version, and then reuses versions in a new
+    era.
     """
 
     @initialize()
@@ -129,7 +131,7 @@
 
     @rule(key=KEY, value=st.sampled_from(["x", "y", None]))
     def write(self, key, value):
-        """Also signs of life, which write the same value anew."""
+        """Write a row, possibly with an equal value, as heartbeats do."""
         self.version += 1
         row = StoredRow(key, self.version, value)
         if value is None:
@@ -139,19 +141,19 @@
         self.changes.append(row)
         self.history[self.era, self.version] = dict(self.rows)
 
-    @rule(lost=st.integers(0, 4))
-    def restore(self, lost):
-        version = max(1, self.version - lost)
-        lasting = {
+    @rule(lost_versions=st.integers(0, 4))
+    def restore(self, lost_versions):
+        version = max(1, self.version - lost_versions)
+        kept = {
             number: rows
             for (era, number), rows in self.history.items()
             if era == self.era and number <= version
         }
         self.era += 1
         self.version = version
-        self.rows = dict(lasting[version])
+        self.rows = dict(kept[version])
         self.changes = [row for row in self.changes if row.version <= version]
-        self.history |= {(self.era, number): rows for number, rows in lasting.items()}
+        self.history |= {(self.era, number): rows for number, rows in kept.items()}
 
     @rule(copy_index=COPY_INDEX, is_whole=st.booleans())
     def begin_read(self, copy_index, is_whole):
@@ -178,7 +180,7 @@
 
     @rule(copy_index=COPY_INDEX, key=KEY, is_sent=st.booleans())
     def write_and_read(self, copy_index, key, is_sent):
-        """Do the usual in one step; what the reader tells may get lost."""
+        """Write and read in one step; the reader's update may get lost."""
         self.write(key, f"v{self.era}.{self.version}")
         self.begin_read(copy_index, is_whole=False)
         sent = len(self.in_flight)
--- a/tests/watching/test_watch.py
+++ b/tests/watching/test_watch.py
@@ -1,4 +1,4 @@
-"""Following the store together, one reading for all."""
+"""Cooperative replication of store tables, where one daemon reads for all."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 from ..fakes import make_core
 
 STALENESS_BOUND_S = 2.0
-"""The shortest time in which a change must be in force anywhere."""
+"""The shortest staleness bound in use."""
 SLOW_ANSWER_S = 0.5
-"""How long a slow store takes to answer."""
+"""Response time of a slow store."""
 QUICK_ANSWER_S = 0.1
-"""How long one in good order takes at most."""
+"""Maximum response time of a healthy store."""
 DEPLOYED_SETTINGS = Path(__file__).parents[2] / "deploy" / "entry.ini"
 
 
 class ScriptedTable(WatchedTable):
-    """Answers as the test says."""
+    """Answers as configured by the test."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -84,7 +84,7 @@
         self.watch.on_row = lambda change: self.rows.append((change.key, change.value))
         self.state = self.watch._tables["t"]
 
-    def pull(self):
+    def refresh(self):
         asyncio.run(self.watch._async_refresh(self.state))
 
 
@@ -97,12 +97,12 @@
 
 def test_reader_updates_other_daemons(table):
     reader, other = DaemonUnderTest(table), DaemonUnderTest(table, rank=3)
-    reader.pull()
-    other.pull()
+    reader.refresh()
+    other.refresh()
     assert reader.sent == []
     table.put("t/b", 2)
     table.now_s += 0.6
-    reader.pull()
+    reader.refresh()
     other.watch.take_news(reader.sent[0], "d2")
     assert other.rows == [("t/a", 1), ("t/b", 2)]
     assert other.watch._pause_s(other.state) > 0
@@ -110,7 +110,7 @@
 
 
 def test_last_rank_meets_bound_when_first_call_fails():
-    """Whether nobody answers the first try of the call, or the whole call fails."""
+    """Holds if the first attempt of the call gets no answer, or if the call fails."""
     parser = configparser.ConfigParser()
     parser.read(DEPLOYED_SETTINGS)
     limit_s = parser.getfloat("platform", "timeout_s")
@@ -148,14 +148,14 @@
     ) * STALENESS_BOUND_S
     assert last_rank_s + SLOW_ANSWER_S < STALENESS_BOUND_S
     other = DaemonUnderTest(table, rank=100)
-    other.pull()
+    other.refresh()
     table.now_s += last_rank_s + 0.01
     assert other.watch._pause_s(other.state) <= 0
 
 
 def test_update_after_gap_is_left_to_next_read(table):
     other = DaemonUnderTest(table, rank=2)
-    other.pull()
+    other.refresh()
     table.now_s += 5.0
     other.watch.take_news(
         StoreNews("t", 9, 10, 1005.0, [StoredRow("t/b", 10, 2)]), "d2"
@@ -166,21 +166,21 @@
 
 def test_lost_history_causes_full_read(table):
     reader = DaemonUnderTest(table)
-    reader.pull()
+    reader.refresh()
     table.put("t/b", 2)
     table.put("t/a", None)
     table.keeps_history = False
-    reader.pull()
+    reader.refresh()
     assert sorted(reader.rows[1:], key=str) == [("t/a", None), ("t/b", 2)]
     assert reader.sent[0].after == 0
 
 
 def test_outdated_rows_are_ignored(table):
-    """Neither as changes nor with a whole table of an earlier version."""
+    """Neither changes nor a full table of an earlier version are applied."""
     reader = DaemonUnderTest(table)
     table.put("t/a", 2)
     table.put("t/b", 1)
-    reader.pull()
+    reader.refresh()
     rows = list(reader.rows)
     old = [StoredRow("t/a", 1, 1)]
     for after in (0, 1):
@@ -191,10 +191,10 @@
 
 def test_daemon_without_store_requests_snapshot(table):
     reader, isolated = DaemonUnderTest(table), DaemonUnderTest(table)
-    reader.pull()
+    reader.refresh()
     table.is_down = True
     with pytest.raises(PlatformUnavailable) as caught:
-        isolated.pull()
+        isolated.refresh()
     isolated.watch._record_failure(isolated.state, caught.value)
     request = isolated.sent[0]
     assert request == SnapshotRequest("t", "d1")
@@ -211,11 +211,11 @@
         watcher.watch.on_row = lambda change: seen.append(
             (change.value, change.back_until_s)
         )
-        watcher.pull()
+        watcher.refresh()
     table.now_s += STALENESS_BOUND_S + 0.1
     seen.clear()
     table.put("t/a", None)
-    reader.pull()
+    reader.refresh()
     other.watch.take_news(reader.sent[-1], "d2")
     for value, back_until_s in seen:
         assert value is None
@@ -226,7 +226,7 @@
 
 def test_removals_after_short_gap_are_final(table):
     reader = DaemonUnderTest(table)
-    reader.pull()
+    reader.refresh()
     table.now_s += STALENESS_BOUND_S - 0.1
     reader.watch._record_failure(reader.state, PlatformUnavailable("x", step="test"))
     seen = []
@@ -234,22 +234,22 @@
         reader.core.clock() < change.back_until_s
     )
     table.put("t/a", None)
-    reader.pull()
+    reader.refresh()
     assert seen == [False]
 
 
 def test_heartbeats_are_not_broadcast(table):
     reader, other = DaemonUnderTest(table), DaemonUnderTest(table, rank=2)
     reader.watch.compact = lambda key, value: value // 10
-    reader.pull()
-    other.pull()
+    reader.refresh()
+    other.refresh()
     table.put("t/a", 2)
-    reader.pull()
+    reader.refresh()
     assert reader.sent[0].rows == []
     table.now_s += 0.6
     other.watch.take_news(reader.sent[0], "d2")
     assert other.state.copy.version == 2
     assert other.watch._pause_s(other.state) > 0
     table.put("t/a", 20)
-    reader.pull()
+    reader.refresh()
     assert [row.value for row in reader.sent[1].rows] == [2]
--- a/tests/watching/watching_fleet.py
+++ b/tests/watching/watching_fleet.py
@@ -1,7 +1,8 @@
-"""Daemons that follow the endpoints' registrations together, in virtual time.
+"""Simulated daemons that replicate the table of endpoints, in virtual time.
 
-The store answers at once and keeps a history. Trouble is put between it and single
-daemons, and between daemons: calls that fail, answers and news that arrive late.
+The simulated store answers at once and keeps a history. Faults are injected on the
+connections of single daemons to the store and on the links between daemons: failed
+calls, delayed answers, and delayed or lost updates.
 """
 
 from __future__ import annotations
@@ -27,29 +28,32 @@
 from ..fakes import make_core
 
 STALENESS_BOUND_S = 2.0
-"""How soon a leaving endpoint must get no request any more."""
+"""Time after which a leaving endpoint must not receive requests."""
 SERVICE = ServiceName("llm")
 CALL_DURATION_S = 0.01
 LINK_DELAY_S = 0.001
 RECOVERY_GRACE_S = 3.0
-"""After trouble of its own, or of the store, a daemon is not held to the bound."""
+"""Time after a fault of a daemon or the store in which the bound is not checked."""
 EXPIRY_INTERVAL_S = 0.2
-"""How often a daemon looks whether endpoints came back."""
+"""Interval at which daemons drop endpoints that have not registered again."""
 CLOCK_OFFSET_S = 5000.0
-"""The store's steady clock less that of the daemons."""
+"""The store's monotonic clock minus that of the daemons."""
 CALL_TIMEOUT_S = 1.0
-"""Time limit of a call to the store, beside what it may be held back."""
+"""Timeout of a call to the store, in addition to its long-poll wait."""
 MAX_PAUSE_S = 1.0
-"""Longest pause of calls after several failures, as deployed."""
+"""Longest pause of the circuit breaker after several failures, as deployed."""
 PEER_TIMEOUT_S = 1.5
-"""How long peers in good order are silent at most, as deployed."""
+"""Longest silence of healthy peers, as deployed."""
 PEER_HEARTBEAT_S = 0.4
 MIN_LAPSING_OUTAGE_S = 2.4
-"""Endpoints beat each 1.2 s, and their rows lapse after three beats."""
+"""Shortest outage in which rows lapse.
+
+Endpoints send heartbeats every 1.2 s, and their rows lapse after three intervals.
+"""
 ROW_LAPSE_S = 4.8
-"""When the row of an endpoint that has ended has lapsed, on the same beats."""
+"""Time after which the row of an ended endpoint has lapsed, at the same interval."""
 CALL_BUDGET_PER_S = 1000
-"""No test is about the budget of calls."""
+"""High enough that no test reaches the call budget."""
 
 
 class FakeStore:
@@ -63,9 +67,9 @@
         self.history_start = 0
         self.is_down = False
         self.healthy_since_s = 0.0
-        """When its last outage ended."""
+        """End of the last outage."""
         self.leaving_since_s: dict[EndpointId, float] = {}
-        """When the store, in good order, acknowledged that an endpoint leaves."""
+        """When the store, while healthy, acknowledged that an endpoint leaves."""
         self.changed = asyncio.Event()
 
     def register(self, name: str, state: str = "ready") -> None:
@@ -90,15 +94,15 @@
             self._record_leaving(name)
 
     def drop_history(self) -> None:
-        """Keep the rows, but no changes."""
+        """Discard the change history, and keep the rows."""
         self.history_start = self.version
 
     def backup(self) -> tuple[dict[str, Row], int]:
-        """Return what the store holds now."""
+        """Return a backup of the current rows and version."""
         return dict(self.rows), self.version
 
     def restore(self, backup: tuple[dict[str, Row], int]) -> None:
-        """Come back from a copy: what was written since is gone."""
+        """Restore a backup, losing later writes, and begin a new era."""
         rows, self.version = backup
         self.rows = dict(rows)
         self.changes = [row for row in self.changes if row.version <= self.version]
@@ -114,7 +118,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether the bound holds for what it acknowledges now."""
+        """Whether the bound applies to writes that are acknowledged now."""
         now_s = asyncio.get_running_loop().time()
         return now_s >= self.healthy_since_s + RECOVERY_GRACE_S
 
@@ -127,7 +131,7 @@
         self.changed = asyncio.Event()
 
     def page(self, after: int) -> RowPage:
-        """Return every change after a version, or the rows of the whole table."""
+        """Return all changes after a version, or the full table for version 0."""
         rows = [row for row in self.changes if row.version > after]
         if not after:
             rows = [row for row in self.rows.values() if row.value is not None]
@@ -136,7 +140,7 @@
 
 
 class StoreConnection(WatchedTable):
-    """One daemon's way to the store."""
+    """One daemon's connection to the store."""
 
     def __init__(self, store: FakeStore, rng: random.Random) -> None:
         self._store = store
@@ -144,11 +148,11 @@
         self._breaker = Breaker("store", CALL_BUDGET_PER_S, clock, rng, MAX_PAUSE_S)
         self.is_disconnected = False
         self.is_rejected = False
-        """The store turns this daemon away, and serves the others."""
+        """The store rejects the calls of this daemon, and serves the others."""
         self.answer_delay_s: Callable[[], float] = lambda: 0.0
-        """How much later than usual an answer arrives."""
+        """Returns the extra delay of an answer."""
         self.is_connection_stale = False
-        """The kept connection is silent, which the next call finds out."""
+        """The kept-alive connection is dead; the next call times out and retries."""
         self.calls = 0
 
     async def async_read(self, prefix, after_version=0):
@@ -162,7 +166,7 @@
 
     @contextmanager
     def _through_breaker(self):
-        """Refuse a call while the breaker is open; count what becomes of it."""
+        """Reject a call while the breaker is open, and record its outcome."""
         self._breaker.before_call("test")
         try:
             yield
@@ -195,7 +199,7 @@
             await asyncio.sleep(CALL_DURATION_S)
             raise PlatformUnavailable("status 429", step="test")
         if self._is_unreachable:
-            # The second try has a connection of its own.
+            # The retry uses a new connection.
             await self._async_retry(wait_s)
         elif self.is_connection_stale:
             self.is_connection_stale = False
@@ -207,11 +211,11 @@
         return self.is_disconnected or self._store.is_down
 
     async def _async_retry(self, wait_s: float) -> None:
-        """Send a call again on a new connection, and fail when that is not answered."""
-        patience_s = wait_s + SECOND_TRY_SHARE * CALL_TIMEOUT_S
-        await asyncio.sleep(patience_s)
+        """Retry a call on a new connection, and fail if it gets no answer either."""
+        retry_after_s = wait_s + SECOND_TRY_SHARE * CALL_TIMEOUT_S
+        await asyncio.sleep(retry_after_s)
         if self._is_unreachable:
-            await asyncio.sleep(CALL_TIMEOUT_S + wait_s - patience_s)
+            await asyncio.sleep(CALL_TIMEOUT_S + wait_s - retry_after_s)
             raise PlatformUnavailable("no answer in time", step="test")
 
     async def _async_answer(self, page: RowPage, wait_s: float) -> RowPage:
@@ -224,7 +228,7 @@
 
 
 class SimulatedDaemon:
-    """One daemon: its copy of the table, and what it believes of endpoints."""
+    """One daemon: its copy of the table and its state of the endpoints."""
 
     def __init__(self, fleet: SimulatedFleet, rank: int, seed: int) -> None:
         self.name = DaemonId(f"d{rank}")
@@ -249,43 +253,45 @@
         self.watch.alone_until_s = lambda: self.silence.alone_until_s(self.core.clock())
         self.watch.on_row = self.known.take_row
         self.watch.compact = adapter.compact_row
-        self.watch.reply = lambda peer, news: fleet.deliver(self, peer, news)
+        self.watch.reply = lambda peer, message: fleet.deliver(self, peer, message)
         self.update_delay_s: Callable[[DaemonId], float] = lambda peer: 0.0
-        """How much later than usual its news reach a peer, infinite if never."""
+        """Returns the extra delay of its messages to a peer, infinite for a loss."""
         self.healthy_since_s = 0.0
-        """When its last trouble ended."""
+        """End of its last fault."""
         self.is_isolated = False
-        """No daemon hears it, and it hears none."""
+        """Its links to all other daemons are down."""
         self.ever_used: set[EndpointId] = set()
-        """Endpoints that it has used at any time."""
+        """Endpoints that were usable at any time."""
         self.known_leaving: set[EndpointId] = set()
-        """Those of which it knew that they leave."""
+        """Endpoints that it has stopped using because they leave."""
 
     @property
     def is_healthy(self) -> bool:
-        """Whether it was in good order for long enough to be held to the bound."""
+        """Whether it was without faults for long enough for the bound to apply."""
         return self.core.clock() >= self.healthy_since_s + RECOVERY_GRACE_S
 
     async def async_send_heartbeats(self) -> None:
-        """Send the heartbeats of links."""
+        """Send heartbeats to the other daemons."""
         await asyncio.sleep(PEER_HEARTBEAT_S * self.core.rng.random())
         while True:
             self._send(None)
             await asyncio.sleep(PEER_HEARTBEAT_S)
 
-    def _send(self, news: StoreNews | SnapshotRequest | None) -> None:
+    def _send(self, message: StoreNews | SnapshotRequest | None) -> None:
         for peer in self._fleet.daemons:
             if peer is not self:
-                self._fleet.deliver(self, peer.name, news)
+                self._fleet.deliver(self, peer.name, message)
 
-    def take(self, news: StoreNews | SnapshotRequest | None, source: DaemonId) -> None:
+    def take(
+        self, message: StoreNews | SnapshotRequest | None, source: DaemonId
+    ) -> None:
         self.silence.note_heard(self.core.clock())
-        if news is None:
+        if message is None:
             return
-        if isinstance(news, SnapshotRequest):
-            self.watch.take_request(news)
+        if isinstance(message, SnapshotRequest):
+            self.watch.take_request(message)
         else:
-            self.watch.take_news(news, source)
+            self.watch.take_news(message, source)
 
     def usable(self) -> set[EndpointId]:
         """Return the endpoints that a request may be sent to."""
@@ -293,7 +299,7 @@
         return {row.record.id for row in rows}
 
     def find_reused(self, left: set[EndpointId]) -> set[EndpointId]:
-        """Return endpoints that it uses again after it knew that they leave."""
+        """Return leaving endpoints that are usable again after they were dropped."""
         usable = self.usable()
         self.known_leaving |= (left & self.ever_used) - usable
         self.ever_used |= usable
@@ -307,7 +313,7 @@
 
 
 class SimulatedFleet:
-    """Some daemons and their store; the first in rank reads for the others."""
+    """Simulated daemons and their store; rank 0 reads for the others."""
 
     def __init__(self, daemon_count: int, seed: int) -> None:
         self.store = FakeStore()
@@ -322,12 +328,12 @@
         self,
         sender: SimulatedDaemon,
         peer: DaemonId,
-        news: StoreNews | SnapshotRequest | None,
+        message: StoreNews | SnapshotRequest | None,
     ) -> None:
-        """Let news arrive over one link, in the order in which it was sent."""
+        """Schedule the delivery of a message; each link keeps the order of messages."""
         loop = asyncio.get_running_loop()
         delay_s = sender.update_delay_s(peer)
-        target = next(f for f in self.daemons if f.name == peer)
+        target = next(daemon for daemon in self.daemons if daemon.name == peer)
         is_lost = sender.is_isolated or target.is_isolated
         if delay_s == float("inf") or is_lost:
             return
@@ -336,10 +342,13 @@
             self._link_free_s.get(link, 0.0), loop.time() + LINK_DELAY_S + delay_s
         )
         self._link_free_s[link] = at_s
-        loop.call_at(at_s, target.take, news, sender.name)
+        loop.call_at(at_s, target.take, message, sender.name)
 
     def bound_violations(self) -> list[tuple[DaemonId, EndpointId, float]]:
-        """Return who would still send to endpoints that left over the bound ago."""
+        """Return healthy daemons that still use endpoints beyond the bound.
+
+        Each entry has the daemon, the endpoint and the time since it left.
+        """
         now_s = asyncio.get_running_loop().time()
         if not self.store.is_healthy:
             return []
@@ -353,26 +362,30 @@
         ]
 
     async def async_advance(self, time_s: float) -> None:
-        """Let time pass; no calm daemon may send to what left over the bound ago."""
+        """Advance the time, checking every 10 ms that leaving endpoints are not used.
+
+        Healthy daemons must not use them beyond the bound, and no daemon may use one
+        again that it has dropped.
+        """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + time_s
         while loop.time() < end_s:
             await asyncio.sleep(0.01)
-            late = self.bound_violations()
-            assert not late, late
+            violations = self.bound_violations()
+            assert not violations, violations
             for daemon in self.daemons:
-                again = daemon.find_reused(self.store.leaving_since_s.keys())
-                assert not again, (daemon.name, again)
+                reused = daemon.find_reused(self.store.leaving_since_s.keys())
+                assert not reused, (daemon.name, reused)
 
     async def async_write_heartbeats(self) -> None:
-        """Let endpoints write signs of life, as they do all day."""
+        """Write heartbeats of random endpoints while the store is up."""
         while True:
             await asyncio.sleep(0.13)
             if self.store.is_down:
                 continue
-            living = [row for row in self.store.rows.values() if row.value]
-            if living:
-                row = self.rng.choice(living)
+            live = [row for row in self.store.rows.values() if row.value]
+            if live:
+                row = self.rng.choice(live)
                 name = row.key.partition("/")[2]
                 self.store._put(name, row.value)
 
@@ -395,13 +408,13 @@
 
 @asynccontextmanager
 async def async_fleet(daemon_count: int = 7, seed: int = 1, endpoints: int = 4):
-    """Start daemons that know some endpoints, named e0, e1 and so on."""
+    """Start a fleet whose daemons know endpoints named e0, e1 and so on."""
     fleet = SimulatedFleet(daemon_count, seed)
     for number in range(endpoints):
         fleet.store.register(f"e{number}")
     await fleet.async_start()
-    # Rows that nobody takes would let every check of what is not used pass.
-    assert all(len(f.usable()) == endpoints for f in fleet.daemons)
+    # Without usable endpoints, every check that an endpoint is not used would pass.
+    assert all(len(daemon.usable()) == endpoints for daemon in fleet.daemons)
     try:
         yield fleet
     finally:
