--- a/tests/watching/test_probing.py
+++ b/tests/watching/test_probing.py
@@ -7,11 +7,7 @@
 
 from chutelink.const import TABLE_CONFIG, TABLE_ENDPOINTS, TABLE_QUARANTINE
 from chutelink.watching.probing import ProbeBackoff
-from chutelink.watching.timing import (
-    MAX_RANK_STEPS,
-    MIN_RETRY_PAUSE_S,
-    RETRY_JITTER,
-)
+from chutelink.watching.timing import MAX_RANK_STEPS, MIN_RETRY_PAUSE_S, RETRY_JITTER
 from chutelink.watching.watch import StoreWatch
 
 from ..fakes import make_core
--- a/tests/watching/test_restored_store.py
+++ b/tests/watching/test_restored_store.py
@@ -107,12 +107,12 @@
 
 async def async_restore_older(fleet: Fleet, lost_rows: int) -> None:
     """Take a backup, write more rows, and restore the store from the backup."""
-    copy = fleet.store.copy()
+    backup = fleet.store.copy()
     for number in range(lost_rows):
         fleet.put(f"lost{number}", "ready")
     names = {"e0", *(f"lost{number}" for number in range(lost_rows))}
     await fleet.async_until(lambda rows: names <= rows.keys())
-    fleet.store.restore(copy)
+    fleet.store.restore(backup)
 
 
 @pytest.mark.parametrize("lost_rows", [2, 20])
@@ -134,11 +134,11 @@
 
     async def async_test():
         async with async_fleet() as fleet:
-            copy = fleet.store.copy()
+            backup = fleet.store.copy()
             fleet.put("e1", "ready")
             fleet.put("e2", "ready")
             await fleet.async_until(lambda rows: len(rows) == 3)
-            fleet.store.restore(copy)
+            fleet.store.restore(backup)
             # Written before any daemon reads, so that the versions are in use again.
             fleet.put("e0", "draining")
             fleet.put("e1", "draining")
--- a/tests/watching/test_tablecopy.py
+++ b/tests/watching/test_tablecopy.py
@@ -197,13 +197,13 @@
             self.in_flight.pop(index)
 
     @invariant()
-    def copies_never_go_back(self):
+    def copies_never_revert(self):
         for copy_index, copy in enumerate(getattr(self, "copies", ())):
             assert (copy.era, copy.version) >= self.latest[copy_index]
             self.latest[copy_index] = (copy.era, copy.version)
 
     @invariant()
-    def copies_hold_what_the_table_held(self):
+    def copies_match_table_history(self):
         for copy in getattr(self, "copies", ()):
             if copy.version:
                 known = {key: row.value for key, row in copy.rows.items()}
--- a/tests/watching/test_watch.py
+++ b/tests/watching/test_watch.py
@@ -80,7 +80,7 @@
         self.watch = StoreWatch(
             self.core, table, {"t": STALENESS_BOUND_S}, lambda: rank, self.sent.append
         )
-        self.watch.reply = lambda daemon, news: self.sent.append(news)
+        self.watch.reply = lambda daemon, update: self.sent.append(update)
         self.watch.on_row = lambda change: self.rows.append((change.key, change.value))
         self.state = self.watch._tables["t"]
 
@@ -127,9 +127,7 @@
 
 
 @pytest.mark.parametrize("staleness_bound_s", [1.5, 2.0, 3.0, 10.0])
-def test_max_timeout_keeps_last_rank_within_bound(
-    staleness_bound_s,
-):
+def test_max_timeout_keeps_last_rank_within_bound(staleness_bound_s):
     limit_s = max_timeout_s(staleness_bound_s)
     last_rank_s = (
         FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
@@ -207,11 +205,11 @@
 def test_removals_shortly_after_outage_allow_reregistration(table):
     reader, other = DaemonUnderTest(table), DaemonUnderTest(table, rank=3)
     seen = []
-    for watcher in (reader, other):
-        watcher.watch.on_row = lambda change: seen.append(
+    for daemon in (reader, other):
+        daemon.watch.on_row = lambda change: seen.append(
             (change.value, change.back_until_s)
         )
-        watcher.refresh()
+        daemon.refresh()
     table.now_s += STALENESS_BOUND_S + 0.1
     seen.clear()
     table.put("t/a", None)
