--- a/chutelink/entry/app.py
+++ b/chutelink/entry/app.py
@@ -31,30 +31,30 @@
 from ..watching.timing import fit_time_limit
 from ..watching.watch import StoreWatch
 from .adapter import Handler, PlatformAdapter
-from .callers import make_callers
+from .caller_server import make_caller_server
 from .demand import DemandTable
 from .directory import Directory, count_candidates
 from .http import CallerHttp
 from .listeners import ACCEPT_QUEUE
 from .loads import LoadBook
-from .membership import FormerFleet, Registration, make_member, port_of
-from .newsdesk import NewsDesk
+from .membership import PreviousFleet, Registration, make_member, port_of
+from .message_router import MessageRouter
 from .pending import PendingTable
 from .state import EntryState
 
 MS_PER_S = 1000.0
 JOIN_POLL_S = 0.02
-LOAD_NEWS_PERIOD_S = 0.2
+LOAD_REPORT_PERIOD_S = 0.2
 """How often other daemons hear what is under way; choices are as old at most."""
-KEPT_ANSWER_FACTOR = 3
+CACHED_ADDRESS_FACTOR = 3
 """Some callers keep an answer three times as long as they should."""
-STOP_MARGIN_S = 0.8
+SHUTDOWN_MARGIN_S = 0.8
 """Left of the grace for closing down."""
 DRAIN_POLL_S = 0.05
-REFUSE_LEAD_S = 0.5
+REFUSE_WAITING_LEAD_S = 0.5
 """How long before the end requests are refused that still wait for a model."""
-IDLE_MARGIN = 1.1
-HOLDS_WAIT_S = 1.5
+CACHE_TIME_MARGIN = 1.1
+QUARANTINE_WAIT_S = 1.5
 """How long after a start requests wait for what is kept away: two tries of a read.
 
 The store may be away in part, and serving does not need that table.
@@ -120,7 +120,7 @@
         self.lease: PlacerLease | None = None
         self.placer: Placer | None = None
         self.callers: CallerHttp | None = None
-        self.news: NewsDesk | None = None
+        self.router: MessageRouter | None = None
         self._upstream: Upstream | None = None
         self._caller_server: web.Server | None = None
         self._listeners: list[asyncio.Server] = []
@@ -138,7 +138,7 @@
         )
         self._upstream = Upstream()
         self.mesh = Mesh(self, self.settings.peers, self.members)
-        self.news = NewsDesk(
+        self.router = MessageRouter(
             self,
             self.mesh,
             self.directory,
@@ -149,13 +149,13 @@
             self.quarantine,
             self.quotas.keeper,
         )
-        self.quarantine.send = self.news.send
-        self.quotas.keeper.send = self.news.reply
+        self.quarantine.send = self.router.send
+        self.quotas.keeper.send = self.router.reply
         self.quotas.keeper.linked = self.mesh.linked_members
         self._setup_permits()
-        self.mesh.on_broadcast = self.news.take
-        self.mesh.on_direct = self.news.take_direct
-        self.mesh.on_members_changed = self.news.choose_links
+        self.mesh.on_broadcast = self.router.handle_broadcast
+        self.mesh.on_direct = self.router.handle_direct
+        self.mesh.on_members_changed = self.router.choose_links
         bounds_s = {
             TABLE_CONFIG: bound_s,
             TABLE_ENDPOINTS: bound_s,
@@ -163,23 +163,25 @@
         }
         outage_s = MIN_LAPSE_HEARTBEATS * entry.endpoint_heartbeat_ms / MS_PER_S
         self.watch = StoreWatch(
-            self, table, bounds_s, self.rank, self.news.send, outage_s
+            self, table, bounds_s, self.rank, self.router.send, outage_s
         )
         self.watch.alone_until_s = self.mesh.alone_until_s
         self.keeper = QuarantineKeeper(self, table, self.quarantine, self.rank)
-        self.watch.on_row = self._take_row
-        self.watch.on_restored = self._note_restored
-        self.watch.reply = self.news.reply
+        self.watch.on_row = self._apply_row
+        self.watch.on_restored = self._handle_restored
+        self.watch.reply = self.router.reply
         self.watch.compact = self._adapter.compact_row
         gap_s = self.settings.entry.holder_gap_ms / MS_PER_S
-        self.lease = PlacerLease(self, table, self.rank, gap_s, self.news.send)
+        self.lease = PlacerLease(self, table, self.rank, gap_s, self.router.send)
         self._setup_placer()
-        self.callers = make_callers(self, self._adapter.make_dialect(), self._upstream)
-        self.news.watch = self.watch
-        self.news.lease = self.lease
-        self.news.placer = self.placer
-        self.known.on_config = self._take_config
-        self.known.on_endpoints = self._take_endpoints
+        self.callers = make_caller_server(
+            self, self._adapter.make_dialect(), self._upstream
+        )
+        self.router.watch = self.watch
+        self.router.lease = self.lease
+        self.router.placer = self.placer
+        self.known.on_config = self._apply_config
+        self.known.on_endpoints = self._handle_endpoints_changed
         for part in (
             self.mesh,
             self.watch,
@@ -196,17 +198,17 @@
             self.mesh,
             peer_address,
             self.members.own.capacity,
-            looks_back=has_quotas,
+            reads_previous_fleet=has_quotas,
             era=lambda: self.watch.era,
         )
-        registration.on_former = self._take_former
+        registration.on_previous_fleet = self._apply_previous_fleet
         self.add_future(registration.async_run())
 
     def _setup_permits(self) -> None:
-        self.news.permits = self.permits
-        self.permits.send = self.news.reply
+        self.router.permits = self.permits
+        self.permits.send = self.router.reply
         self.permits.linked = self.mesh.linked_members
-        self.permits.serving = lambda: self.news.serving
+        self.permits.serving = lambda: self.router.serving
 
     def _setup_placer(self) -> None:
         self.placer = Placer(
@@ -218,7 +220,7 @@
             self.known.health,
             self.pending,
             DemandPlacement(),
-            self.news.send,
+            self.router.send,
         )
         self.placer.paces.window_s = self.settings.entry.cold_load_window_s
         self.placer.paces.excess = self.settings.entry.cold_load_excess
@@ -271,7 +273,7 @@
             return False
         if not self.watch.has_read(TABLE_CONFIG, TABLE_ENDPOINTS):
             return False
-        is_late = self.clock() - self._created_s > HOLDS_WAIT_S
+        is_late = self.clock() - self._created_s > QUARANTINE_WAIT_S
         return is_late or self.watch.has_read(TABLE_QUARANTINE)
 
     def is_serving(self) -> bool:
@@ -290,7 +292,7 @@
             if member.state is MemberState.ALIVE
         )
 
-    def _take_row(self, change: RowChange) -> None:
+    def _apply_row(self, change: RowChange) -> None:
         if change.key.startswith(PREFIX_HOLDS):
             self.keeper.take_row(
                 change.key, change.value, is_restored=change.is_restored
@@ -298,21 +300,21 @@
             return
         self.known.take_row(change)
 
-    def _note_restored(self, table: str, keys: set[str]) -> None:
+    def _handle_restored(self, table: str, keys: set[str]) -> None:
         if table == TABLE_QUARANTINE:
             self.keeper.note_restored(keys)
 
-    def _take_config(self) -> None:
+    def _apply_config(self) -> None:
         config = self.known.routes.config
         self.placer.config = config
-        self.quotas.update(self.news.serving, self.members)
+        self.quotas.update(self.router.serving, self.members)
         self.quotas.take_customers(config.customers)
 
-    def _take_former(self, former: FormerFleet) -> None:
-        serving = count_candidates(former.capacities)
-        self.quotas.take_former(serving, former.own_began_ago_s)
+    def _apply_previous_fleet(self, previous: PreviousFleet) -> None:
+        serving = count_candidates(previous.capacities)
+        self.quotas.take_former(serving, previous.own_began_ago_s)
 
-    def _take_endpoints(self) -> None:
+    def _handle_endpoints_changed(self) -> None:
         self.pending.signal()
         self.placer.wake()
 
@@ -330,40 +332,40 @@
             self.events.info("ready", version=self.known.routes.config.version)
 
     @Service.task
-    async def _async_tell_load(self) -> None:
+    async def _async_report_load(self) -> None:
         """Tell the others now and then, and at once when a request waits."""
         while not self.should_stop:
             try:
-                async with asyncio.timeout(LOAD_NEWS_PERIOD_S):
+                async with asyncio.timeout(LOAD_REPORT_PERIOD_S):
                     await self.loads.urgent.wait()
             except TimeoutError:
                 pass
             self.loads.urgent.clear()
-            self.quotas.update(self.news.serving, self.members)
+            self.quotas.update(self.router.serving, self.members)
             self.known.expire()
             self.known.endpoints.forget_silent(self.clock())
             unreachable = self.known.health.unreachable(self.clock())
             news = self.loads.take(self.daemon_id, self.known.endpoints, unreachable)
             if news is not None:
-                self.news.send(news)
+                self.router.send(news)
 
     async def async_drain(self) -> None:
         """Leave: out of the answers first, then no new connections, then stop."""
         grace_end_s = self.drain_requested_s + self.settings.entry.grace_s
-        grace_end_s -= STOP_MARGIN_S
+        grace_end_s -= SHUTDOWN_MARGIN_S
         self.callers.end_by(grace_end_s)
         self.mesh.announce_leaving()
         await self.lease.async_release()
-        kept_s = KEPT_ANSWER_FACTOR * self.settings.entry.address_valid_s
-        kept_end_s = min(grace_end_s, self.clock() + kept_s * IDLE_MARGIN)
-        while self.clock() < kept_end_s:
+        cache_s = CACHED_ADDRESS_FACTOR * self.settings.entry.address_valid_s
+        cache_end_s = min(grace_end_s, self.clock() + cache_s * CACHE_TIME_MARGIN)
+        while self.clock() < cache_end_s:
             await asyncio.sleep(DRAIN_POLL_S)
         for listener in self._listeners:
             listener.close()
         # What was accepted a moment ago becomes a connection in the next turns.
         await asyncio.sleep(DRAIN_POLL_S)
         while close_idle(self._caller_server) and self.clock() < grace_end_s:
-            if self.clock() > grace_end_s - REFUSE_LEAD_S:
+            if self.clock() > grace_end_s - REFUSE_WAITING_LEAD_S:
                 self.callers.stop_waiting()
             await asyncio.sleep(DRAIN_POLL_S)
         self.events.info("drained", left=self.callers.in_flight)
--- a/chutelink/entry/callers.py
+++ b/chutelink/entry/caller_server.py
@@ -20,7 +20,9 @@
 MS_PER_S = 1000.0
 
 
-def make_callers(app: EntryApp, dialect: Dialect, upstream: Upstream) -> CallerHttp:
+def make_caller_server(
+    app: EntryApp, dialect: Dialect, upstream: Upstream
+) -> CallerHttp:
     """Return the server of callers, with its relays on the application's tables."""
     exchanges = _make_exchanges(app, dialect)
     customers = CustomerGate(
@@ -62,6 +64,6 @@
         app.quarantine,
         app.permits,
     )
-    exchanges.on_prompt = app.news.send
+    exchanges.on_prompt = app.router.send
     exchanges.knowledge = lambda: app.watch.knowledge(TABLE_ENDPOINTS)
     return exchanges
--- a/chutelink/entry/demand.py
+++ b/chutelink/entry/demand.py
@@ -9,9 +9,9 @@
 from ..ids import AdapterName, DaemonId, ModelName
 from .news import ModelUse
 
-AVERAGE_S = 3.0
+AVERAGING_S = 3.0
 """Time constant of averages; demand moves on within some 5 s."""
-ASKS_S = 8.0
+ASKS_DECAY_S = 8.0
 """Time constant of the count by which a rare model earns a cold load."""
 CLAIM_VALID_S = 20.0
 """How long a model that is not asked for again keeps its turn.
@@ -22,7 +22,7 @@
 """How long a daemon's word on waiting requests counts without a newer one."""
 
 
-class Use(msgspec.Struct):
+class UsageAverage(msgspec.Struct):
     """Use of one model or adapter.
 
     ``work_per_s`` is seconds of an engine's time asked for a second; ``asks``
@@ -47,10 +47,10 @@
     def decay(self, now_s: float) -> None:
         """Bring the average to now."""
         elapsed_s = max(0.0, now_s - self.updated_s)
-        factor = math.exp(-elapsed_s / AVERAGE_S)
+        factor = math.exp(-elapsed_s / AVERAGING_S)
         self.work_per_s *= factor
         self.arrivals_per_s *= factor
-        self.asks *= math.exp(-elapsed_s / ASKS_S)
+        self.asks *= math.exp(-elapsed_s / ASKS_DECAY_S)
         self.updated_s = now_s
 
 
@@ -62,7 +62,7 @@
     last_arrival_s: float = float("-inf")
 
 
-class _Waiting(msgspec.Struct, frozen=True):
+class _WaitingRequests(msgspec.Struct, frozen=True):
     """Requests that wait at one daemon, as it last said."""
 
     requests: int
@@ -74,19 +74,19 @@
     """Averages by model and adapter; the empty adapter stands for the model."""
 
     def __init__(self) -> None:
-        self.uses: dict[tuple[ModelName, AdapterName], Use] = {}
+        self.uses: dict[tuple[ModelName, AdapterName], UsageAverage] = {}
         self._waiting: dict[
-            tuple[ModelName, AdapterName], dict[DaemonId, _Waiting]
+            tuple[ModelName, AdapterName], dict[DaemonId, _WaitingRequests]
         ] = {}
 
     def take(self, daemon: DaemonId, uses: list[ModelUse], now_s: float) -> None:
         """Take in what one daemon was asked for."""
         for news in uses:
             key = (news.model, news.adapter)
-            use = self.uses.setdefault(key, Use(updated_s=now_s))
+            use = self.uses.setdefault(key, UsageAverage(updated_s=now_s))
             use.decay(now_s)
-            use.work_per_s += news.work_s / AVERAGE_S
-            use.arrivals_per_s += news.arrivals / AVERAGE_S
+            use.work_per_s += news.work_s / AVERAGING_S
+            use.arrivals_per_s += news.arrivals / AVERAGING_S
             use.asks += news.arrivals
             if news.arrivals:
                 use.last_arrival_s = now_s
@@ -94,7 +94,7 @@
                 is_served=news.served > 0, is_waiting=news.waiting > 0, now_s=now_s
             )
             waiting = self._waiting.setdefault(key, {})
-            waiting[daemon] = _Waiting(news.waiting, news.patient, now_s)
+            waiting[daemon] = _WaitingRequests(news.waiting, news.patient, now_s)
 
     def totals(self, now_s: float) -> dict[ModelName, ModelDemand]:
         """Return the demand of every model that was asked for, in one pass."""
--- a/chutelink/entry/directory.py
+++ b/chutelink/entry/directory.py
@@ -15,15 +15,15 @@
 
 What daemons that serve tell each other grows with the square of their number.
 """
-LARGE_SHARE = 0.5
+LARGE_CAPACITY_SHARE = 0.5
 """VMs with this share of the largest one's capacity count as large."""
-PRESENT = (MemberState.JOINING, MemberState.ALIVE)
+PRESENT_STATES = (MemberState.JOINING, MemberState.ALIVE)
 
 
 def count_candidates(capacities: Iterable[float]) -> int:
     """Return how many of some daemons serve: the large ones, and at least a few."""
     ordered = sorted(capacities, reverse=True)
-    large = [c for c in ordered if c >= LARGE_SHARE * ordered[0]]
+    large = [c for c in ordered if c >= LARGE_CAPACITY_SHARE * ordered[0]]
     return min(len(ordered), max(MIN_SERVING, len(large)))
 
 
@@ -73,7 +73,7 @@
         rows = self._members.rows.values()
         alive = [member for member in rows if member.state is MemberState.ALIVE]
         alive.sort(key=lambda member: (-member.capacity, member.id))
-        present = [member.capacity for member in rows if member.state in PRESENT]
+        present = [member.capacity for member in rows if member.state in PRESENT_STATES]
         return alive[: count_candidates(present)] if alive else []
 
     def _for_domain(
--- a/chutelink/entry/endpoints.py
+++ b/chutelink/entry/endpoints.py
@@ -29,7 +29,7 @@
 NO_ADAPTER = AdapterName("")
 UNKNOWN_SEQUENCE = -1
 """Before a report was read, nothing is known of the orders accepted."""
-PLACED_VALID_S = 3.0
+PLACER_TIMEOUT_S = 3.0
 """Registrations are up to 2 s old; a placer speaks every 0.4 s."""
 
 
@@ -40,7 +40,7 @@
     DRAINING = "draining"
 
 
-class Registered(Enum):
+class RegistrationResult(Enum):
     """What a registration meant for what is known."""
 
     SAME = "same"
@@ -100,7 +100,7 @@
         self.limit = LimitState()
         self.paused_until_s = float("-inf")
         """Until when it wants nothing more from this daemon."""
-        self.unproved_until_s = float("-inf")
+        self.unconfirmed_until_s = float("-inf")
         """Until when its row may be one that lapses, of a process that has ended."""
         self.is_leaving = False
         """Whether it has said so, in an answer or in a registration."""
@@ -114,7 +114,7 @@
         """Return whether it may be sent new work."""
         if self.lapsed_until_s is not None and now_s >= self.lapsed_until_s:
             return False
-        return self.is_ready and now_s >= self.unproved_until_s
+        return self.is_ready and now_s >= self.unconfirmed_until_s
 
     def is_paused(self, now_s: float) -> bool:
         """Return whether it has asked this daemon to send nothing for now."""
@@ -163,7 +163,7 @@
             self.sequence = sequence
             self.models = models
 
-    def take_record(self, record: EndpointRecord, has_placer: bool) -> None:
+    def update_record(self, record: EndpointRecord, has_placer: bool) -> None:
         """Take in a registration; what a placer has said is newer."""
         self.record = record
         self.lapsed_until_s = None
@@ -171,7 +171,7 @@
             self.models = dict(record.models)
 
 
-def _goes_back(known: EndpointRecord, record: EndpointRecord) -> bool:
+def _is_older_state(known: EndpointRecord, record: EndpointRecord) -> bool:
     """Return whether a record of the same process is of before it began to leave."""
     is_leaving = known.state is EndpointState.DRAINING
     return is_leaving and record.state is EndpointState.READY
@@ -185,7 +185,7 @@
         self._others = OtherLoads()
         self._leaving = ProcessMemory()
         self._removed = ProcessMemory()
-        self.placer_heard_s = float("-inf")
+        self.last_placer_message_s = float("-inf")
         self.on_restarted: Callable[[EndpointRecord, EndpointRecord], None] = (
             lambda before, record: None
         )
@@ -201,40 +201,40 @@
             if row.record.service == service and row.is_usable(now_s)
         ]
 
-    def put(self, record: EndpointRecord, now_s: float) -> Registered:
+    def put(self, record: EndpointRecord, now_s: float) -> RegistrationResult:
         """Take in a registration; return what it meant."""
         row = self.rows.get(record.id)
         if row is None:
             row = self.rows[record.id] = Endpoint(record)
             # Its row may have been away while the store was.
             row.is_leaving = self._leaving.has(record.id, record.born_ms)
-            self._note_draining(row)
-            return Registered.CHANGED
+            self._record_draining(row)
+            return RegistrationResult.CHANGED
         if record.born_ms > row.record.born_ms:
-            self._note_draining(self._restart(row, record))
-            return Registered.RESTARTED
-        if record.born_ms < row.record.born_ms or _goes_back(row.record, record):
-            return Registered.OUTDATED
+            self._record_draining(self._restart(row, record))
+            return RegistrationResult.RESTARTED
+        if record.born_ms < row.record.born_ms or _is_older_state(row.record, record):
+            return RegistrationResult.OUTDATED
         is_changed = row.record.state is not record.state
-        row.take_record(record, now_s - self.placer_heard_s < PLACED_VALID_S)
-        self._note_draining(row)
-        return Registered.CHANGED if is_changed else Registered.SAME
+        row.update_record(record, now_s - self.last_placer_message_s < PLACER_TIMEOUT_S)
+        self._record_draining(row)
+        return RegistrationResult.CHANGED if is_changed else RegistrationResult.SAME
 
     def put_restored(
         self, record: EndpointRecord, now_s: float, lapse_s: float
-    ) -> Registered:
+    ) -> RegistrationResult:
         """Take in a registration that came back with an older copy of the store.
 
         One that had been removed before is not used until that of a process that has
         ended would have lapsed, which takes ``lapse_s`` without a sign of life.
         """
         is_known = record.id in self.rows
-        meant = self.put(record, now_s)
+        result = self.put(record, now_s)
         if not is_known and self._removed.has(record.id, record.born_ms):
-            self.rows[record.id].unproved_until_s = now_s + lapse_s
-        return meant
+            self.rows[record.id].unconfirmed_until_s = now_s + lapse_s
+        return result
 
-    def _note_draining(self, row: Endpoint) -> None:
+    def _record_draining(self, row: Endpoint) -> None:
         if row.record.state is EndpointState.DRAINING:
             row.is_leaving = True
             self._leaving.note(row.record.id, row.record.born_ms)
@@ -328,7 +328,7 @@
             self.remove(row.record.id)
         return ended
 
-    def take_load(
+    def set_other_load(
         self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float
     ) -> None:
         """Replace what another daemon has under way."""
--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -20,7 +20,7 @@
 from ..relaying.upstream import WholeResponse, forwarded_headers
 from .config import CallerLimits, Route, RouteTable, ServiceSpec
 from .dialect import RequestMeta
-from .stopping import ELSEWHERE_RETRY_S, can_end
+from .shutdown import OTHER_DAEMON_RETRY_S, can_finish
 
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
@@ -75,14 +75,14 @@
         self._customers = customers
         self._routes = routes
         self._is_ready = is_ready
-        self._first_s = core.clock()
+        self._created_s = core.clock()
         self._log = RequestLog(core)
-        self._ends_s: float | None = None
+        self._stop_deadline_s: float | None = None
         self.in_flight = 0
 
     def end_by(self, ends_s: float) -> None:
         """Take only what can end by then: this daemon stops."""
-        self._ends_s = ends_s
+        self._stop_deadline_s = ends_s
 
     def stop_waiting(self) -> None:
         """Refuse the requests that no endpoint has got yet."""
@@ -108,7 +108,9 @@
             response = self._refuse(refusal)
         except (ConnectionError, asyncio.CancelledError):
             # Nothing can be told any more.
-            outcome = "cut_at_stop" if self._is_cut(request) else "caller_gone"
+            outcome = (
+                "cut_at_stop" if self._is_cut_by_shutdown(request) else "caller_gone"
+            )
             raise
         finally:
             self.in_flight -= 1
@@ -153,13 +155,13 @@
         service = pick_service(route, table.config.services, self._core.rng)
         if service is None:
             raise unavailable("no service for the route", DEFAULT_RETRY_S)
-        self._check_stop(route, meta)
+        self._check_shutdown(route, meta)
         await self._customers.async_admit(admission, meta.counted_tokens)
         body = await self._async_body(request, limits)
         exchange = self._make_exchange(
             request, admission, meta, route, service, target, body, started_s
         )
-        self._check_stop(route, meta)
+        self._check_shutdown(route, meta)
         self._exchanges.note_arrival(exchange)
         return exchange
 
@@ -195,7 +197,7 @@
             admission=admission,
         )
 
-    def _check_stop(self, route: Route, meta: RequestMeta) -> None:
+    def _check_shutdown(self, route: Route, meta: RequestMeta) -> None:
         """Refuse what this daemon could not see to its end before it stops.
 
         Raises
@@ -203,22 +205,22 @@
         Refusal
             Another daemon may serve it.
         """
-        if self._ends_s is None:
+        if self._stop_deadline_s is None:
             return
-        left_s = self._ends_s - self._core.clock()
+        left_s = self._stop_deadline_s - self._core.clock()
         stream_s = self._exchanges.durations.mean_s(meta.model)
-        if not can_end(route, left_s, stream_s):
-            raise unavailable("this daemon is stopping", ELSEWHERE_RETRY_S)
+        if not can_finish(route, left_s, stream_s):
+            raise unavailable("this daemon is stopping", OTHER_DAEMON_RETRY_S)
 
     async def _async_until_ready(self) -> None:
         """Wait while this daemon has just started: the store answers in a moment."""
-        end_s = self._first_s + START_WAIT_S
+        end_s = self._created_s + START_WAIT_S
         while not self._is_ready() and self._core.clock() < end_s:
             await asyncio.sleep(START_POLL_S)
 
-    def _is_cut(self, request: web.BaseRequest) -> bool:
+    def _is_cut_by_shutdown(self, request: web.BaseRequest) -> bool:
         """Return whether this daemon ends while the caller still waits."""
-        if self._ends_s is None or self._core.clock() < self._ends_s:
+        if self._stop_deadline_s is None or self._core.clock() < self._stop_deadline_s:
             return False
         return request.transport is not None and not request.transport.is_closing()
 
@@ -291,5 +293,5 @@
 
 
 def _time_limit_s(route: Route, deadline_s: float | None) -> float:
-    asked_s = DEFAULT_DEADLINE_S if deadline_s is None else deadline_s
-    return min(asked_s, route.timeout_s) if route.timeout_s else asked_s
+    requested_s = DEFAULT_DEADLINE_S if deadline_s is None else deadline_s
+    return min(requested_s, route.timeout_s) if route.timeout_s else requested_s
--- a/chutelink/entry/loads.py
+++ b/chutelink/entry/loads.py
@@ -9,9 +9,9 @@
 from ..ids import AdapterName, DaemonId, EndpointId, ModelName
 from ..limits.news import EndpointLimit
 from .endpoints import EndpointTable
-from .news import EndpointLoad, LeavingEndpoint, LoadNews, ModelUse, StreamCount
+from .news import EndpointLoad, LeavingEndpoint, LoadReport, ModelUse, StreamCount
 
-BACK_MARGIN_S = 0.3
+RETURN_DELAY_MARGIN_S = 0.3
 """How much later than told callers come back: a connection, a new request."""
 MAX_PREFIXES = 64
 """Most prompts told of in one message."""
@@ -31,7 +31,7 @@
         self._paused: Counter[EndpointId] = Counter()
         self._leaving: list[LeavingEndpoint] = []
         self._limits: dict[EndpointId, EndpointLimit] = {}
-        self._told: list[EndpointLoad] = []
+        self._reported: list[EndpointLoad] = []
         self.urgent = asyncio.Event()
 
     def note_arrival(
@@ -57,7 +57,7 @@
         Else what it waits for would give way before it is back.
         """
         asyncio.get_running_loop().call_later(
-            back_in_s + BACK_MARGIN_S,
+            back_in_s + RETURN_DELAY_MARGIN_S,
             functools.partial(self.end_wait, model, adapter, is_patient=True),
         )
 
@@ -93,16 +93,16 @@
         self._leaving.append(leaving)
         self.urgent.set()
 
-    def _take_leaving(self) -> list[LeavingEndpoint]:
+    def _drain_leaving(self) -> list[LeavingEndpoint]:
         leaving, self._leaving = self._leaving, []
         return leaving
 
-    def _take_limits(self) -> list[EndpointLimit]:
+    def _drain_limits(self) -> list[EndpointLimit]:
         limits = list(self._limits.values())
         self._limits.clear()
         return limits
 
-    def _take_streams(self) -> list[StreamCount]:
+    def _drain_streams(self) -> list[StreamCount]:
         counts = [
             StreamCount(endpoint, count, self._paused[endpoint])
             for endpoint, count in self._streams.items()
@@ -113,7 +113,7 @@
 
     def take(
         self, daemon: DaemonId, table: EndpointTable, unreachable: list[EndpointId]
-    ) -> LoadNews | None:
+    ) -> LoadReport | None:
         """Return the next message, or None when there is nothing new."""
         loads = [
             EndpointLoad(row.record.id, row.requests, row.reading_s, dict(+row.by_ref))
@@ -139,20 +139,22 @@
             for (model, adapter), count in self.waiting.items()
             if not count and (model, adapter) not in keys
         ]
-        is_new = uses or self._prefixes or ended or loads or self._told or unreachable
+        is_new = (
+            uses or self._prefixes or ended or loads or self._reported or unreachable
+        )
         if not is_new and not self._limits and not self._leaving:
             return None
-        news = LoadNews(
+        news = LoadReport(
             daemon,
             loads,
             uses + ended,
             self._prefixes,
             unreachable,
-            self._take_streams(),
-            self._take_limits(),
-            self._take_leaving(),
+            self._drain_streams(),
+            self._drain_limits(),
+            self._drain_leaving(),
         )
-        self._told = loads
+        self._reported = loads
         self._prefixes = []
         self._arrivals.clear()
         self._served.clear()
--- a/chutelink/entry/membership.py
+++ b/chutelink/entry/membership.py
@@ -26,7 +26,7 @@
 
 NS_PER_MS = 1_000_000
 RETRY_S = 0.5
-LONELY_S = 2.0
+ISOLATED_RETRY_S = 2.0
 """A daemon without links looks again so often; links settle within a second."""
 
 
@@ -44,7 +44,7 @@
     era: StoreEra = NO_ERA
 
 
-class FormerFleet(msgspec.Struct, frozen=True):
+class PreviousFleet(msgspec.Struct, frozen=True):
     """What the store lists when a daemon starts.
 
     ``own_began_ago_s`` is how long ago the process before this one registered, None
@@ -113,7 +113,7 @@
         peer_address: str,
         capacity: float = 0.0,
         *,
-        looks_back: bool = False,
+        reads_previous_fleet: bool = False,
         era: Callable[[], StoreEra] = lambda: NO_ERA,
     ) -> None:
         self._core = core
@@ -122,11 +122,11 @@
         self._mesh = mesh
         self._peer_address = peer_address
         self._capacity = capacity
-        self._looks_back = looks_back
+        self._reads_previous_fleet = reads_previous_fleet
         self._started_s = 0.0
         self._read_era = NO_ERA
         self._written_era: StoreEra | None = None
-        self.on_former: Callable[[FormerFleet], None] = lambda former: None
+        self.on_previous_fleet: Callable[[PreviousFleet], None] = lambda previous: None
 
     async def async_run(self) -> None:
         """Register, find the others, and look again while alone."""
@@ -134,7 +134,7 @@
             try:
                 await self._async_register()
                 await self._async_find()
-                await self._core.sleep(LONELY_S)
+                await self._core.sleep(ISOLATED_RETRY_S)
             except (
                 PlatformUnavailable,
                 WriteOutcomeUnknown,
@@ -148,8 +148,8 @@
         if self._written_era is not None and self._written_era >= self._era():
             return
         key = f"{TABLE_MEMBERS}/{self._core.daemon_id}"
-        if self._looks_back:
-            await self._async_look_back(key)
+        if self._reads_previous_fleet:
+            await self._async_read_previous_fleet(key)
         row = MemberRow(
             self._peer_address,
             self._capacity,
@@ -161,10 +161,10 @@
         commit = await self._table.async_transact(transaction)
         self._written_era = commit.era
 
-    async def _async_look_back(self, own_key: str) -> None:
+    async def _async_read_previous_fleet(self, own_key: str) -> None:
         """Tell, once, what the store lists of before."""
         page = await self._table.async_read(f"{TABLE_MEMBERS}/")
-        self._looks_back = False
+        self._reads_previous_fleet = False
         self._started_s, self._read_era = page.answered_s, page.era
         rows = {row.key: self._decode(row) for row in page.rows}
         own = rows.get(own_key)
@@ -175,7 +175,7 @@
         capacities = [row.capacity for row in rows.values() if row is not None]
         if own is None:
             capacities.append(self._capacity)
-        self.on_former(FormerFleet(began_ago_s, capacities))
+        self.on_previous_fleet(PreviousFleet(began_ago_s, capacities))
 
     def _decode(self, row: Row) -> MemberRow | None:
         """Return what a row says, None for one of another writer: the others hold."""
--- a/chutelink/entry/newsdesk.py
+++ b/chutelink/entry/message_router.py
@@ -19,12 +19,12 @@
 from ..watching.watch import StoreWatch
 from .demand import DemandTable
 from .directory import Directory
-from .endpoints import PLACED_VALID_S
+from .endpoints import PLACER_TIMEOUT_S
 from .news import (
     EndpointLoad,
+    EntryMessage,
     LeaseYield,
-    LoadNews,
-    News,
+    LoadReport,
     PlacementNews,
     PlacerBeacon,
     PromptNews,
@@ -37,7 +37,7 @@
 from .pending import PendingTable
 from .state import EntryState
 
-PROMPT_NEWS_PEERS = 16
+MAX_PROMPT_UPDATE_PEERS = 16
 """Most daemons that are told of each prompt as it is sent.
 
 In larger fleets each daemon has but a few of an endpoint's prompts, and the periodic
@@ -47,7 +47,7 @@
 """Daemons that one without the store asks for a table at a time."""
 
 
-class NewsDesk:
+class MessageRouter:
     """Hands messages to the parts that they are for, and sends theirs out.
 
     Parameters
@@ -102,38 +102,41 @@
         self.placer: Placer | None = None
         self.permits: PermitDesk | None = None
 
-    def send(self, news: News) -> None:
+    def send(self, news: EntryMessage) -> None:
         """Tell those that need it; what this daemon needs too, it takes in itself."""
         if isinstance(news, PlacementNews):
-            self._take_placement(news)
-        elif isinstance(news, LoadNews):
+            self._handle_placement(news)
+        elif isinstance(news, LoadReport):
             self._demand.take(news.daemon, news.uses, self._core.clock())
-            self._take_streams(news)
+            self._apply_streams(news)
             self._wake_placer(news)
-        if isinstance(news, PromptNews) and len(self._mesh.direct) > PROMPT_NEWS_PEERS:
+        if (
+            isinstance(news, PromptNews)
+            and len(self._mesh.direct) > MAX_PROMPT_UPDATE_PEERS
+        ):
             return
         body, topic = encode_news(news), topic_of(news)
-        if isinstance(news, PlacementNews | LoadNews | PromptNews):
+        if isinstance(news, PlacementNews | LoadReport | PromptNews):
             self._mesh.send_to(self._mesh.direct, body, topic)
         elif isinstance(news, SnapshotRequest):
-            self._mesh.send_to(self._pick_peers(), body, topic)
+            self._mesh.send_to(self._choose_snapshot_peers(), body, topic)
         else:
             self._mesh.broadcast(body, topic)
 
-    def _pick_peers(self) -> set[DaemonId]:
+    def _choose_snapshot_peers(self) -> set[DaemonId]:
         """Return a few linked daemons to ask: each sends a whole table."""
         linked = sorted(self._mesh.linked_members())
         return set(self._core.rng.sample(linked, min(SNAPSHOT_PEERS, len(linked))))
 
-    def reply(self, daemon: DaemonId, news: News) -> None:
+    def reply(self, daemon: DaemonId, news: EntryMessage) -> None:
         """Tell one daemon something."""
         self._mesh.send_to({daemon}, encode_news(news), topic_of(news))
 
-    def take(self, broadcast: Broadcast) -> None:
+    def handle_broadcast(self, broadcast: Broadcast) -> None:
         """Take in what another daemon told all."""
-        self.take_direct(broadcast.origin, broadcast.body)
+        self.handle_direct(broadcast.origin, broadcast.body)
 
-    def take_direct(self, origin: DaemonId, body: bytes) -> None:
+    def handle_direct(self, origin: DaemonId, body: bytes) -> None:
         """Take in a message of another daemon."""
         try:
             news = decode_news(body, origin)
@@ -144,14 +147,14 @@
             self.watch.take_news(news, origin)
         elif isinstance(news, SnapshotRequest):
             self.watch.take_request(news)
-        elif isinstance(news, LoadNews):
-            self._take_load(news)
+        elif isinstance(news, LoadReport):
+            self._handle_load(news)
         elif isinstance(news, PromptNews):
-            self._take_prompt(news)
+            self._handle_prompt(news)
         elif isinstance(news, PlacementNews):
-            self._take_placement(news)
+            self._handle_placement(news)
         elif isinstance(news, PlacerBeacon):
-            self._hear_placer(news.daemon, news.term)
+            self._note_placer(news.daemon, news.term)
         elif isinstance(news, LeaseYield):
             self.lease.take_yield(news)
         elif isinstance(news, EndingNews):
@@ -167,11 +170,11 @@
         elif isinstance(news, PermitAnswer):
             self.permits.take_answer(news)
 
-    def _take_load(self, news: LoadNews) -> None:
+    def _handle_load(self, news: LoadReport) -> None:
         now_s = self._core.clock()
         self._demand.take(news.daemon, news.uses, now_s)
-        self._known.endpoints.take_load(news.daemon, news.endpoints, now_s)
-        self._take_streams(news)
+        self._known.endpoints.set_other_load(news.daemon, news.endpoints, now_s)
+        self._apply_streams(news)
         for endpoint, chain in news.prefixes:
             self._known.prefixes.note(endpoint, chain, now_s)
         for limit in news.limits:
@@ -180,26 +183,26 @@
             self._known.endpoints.note_leaving(leaving.endpoint, leaving.born_ms)
         self._wake_placer(news)
 
-    def _take_prompt(self, news: PromptNews) -> None:
+    def _handle_prompt(self, news: PromptNews) -> None:
         load = EndpointLoad(news.endpoint, 1, news.read_s, {news.ref: 1})
         self._known.endpoints.take_sent(news.daemon, load)
         read_s = news.read_s * self._known.speeds.endpoint_factor(news.endpoint)
         self._known.reading.note(news.endpoint, read_s, self._core.clock())
 
-    def _take_streams(self, news: LoadNews) -> None:
+    def _apply_streams(self, news: LoadReport) -> None:
         now_s = self._core.clock()
         for count in news.streams:
             self._known.health.note_streams(
                 count.endpoint, count.streams, count.paused, now_s
             )
 
-    def _wake_placer(self, news: LoadNews) -> None:
+    def _wake_placer(self, news: LoadReport) -> None:
         self.placer.doubt(news.unreachable)
         if any(use.waiting for use in news.uses):
             self.placer.wake()
 
-    def _take_placement(self, news: PlacementNews) -> None:
-        if not self._hear_placer(news.daemon, news.term):
+    def _handle_placement(self, news: PlacementNews) -> None:
+        if not self._note_placer(news.daemon, news.term):
             return
         if news.daemon != self._core.daemon_id:
             for placement in news.endpoints:
@@ -211,19 +214,19 @@
                 )
         self._pending.take(news.loads, news.term, self._core.clock(), news.queued)
 
-    def _hear_placer(self, daemon: DaemonId, term: int) -> bool:
+    def _note_placer(self, daemon: DaemonId, term: int) -> bool:
         """Take in that a placer has spoken; return whether it is the latest one.
 
         News of a former one may arrive late. One of a lower term counts when the
         latest has been silent for longer than any lease lasts.
         """
-        silent_s = self._core.clock() - self._known.endpoints.placer_heard_s
-        if term < self._term and silent_s < PLACED_VALID_S:
+        silent_s = self._core.clock() - self._known.endpoints.last_placer_message_s
+        if term < self._term and silent_s < PLACER_TIMEOUT_S:
             self._core.events.info("placer_outdated", placer=daemon, term=term)
             return False
         self._term = term
         self.lease.note_holder(daemon, term)
-        self._known.endpoints.placer_heard_s = self._core.clock()
+        self._known.endpoints.last_placer_message_s = self._core.clock()
         if daemon != self._placer_id:
             self._placer_id = daemon
             self.choose_links()
--- a/chutelink/entry/news.py
+++ b/chutelink/entry/news.py
@@ -111,7 +111,7 @@
     born_ms: int
 
 
-class LoadNews(msgspec.Struct, frozen=True, array_like=True, tag="load"):
+class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="load"):
     """What one daemon has under way and was asked for since its last message.
 
     ``unreachable`` are endpoints that took no connection from it, ``limits`` what
@@ -197,11 +197,11 @@
     number: int = 1
 
 
-News = (
+EntryMessage = (
     LeaseYield
     | StoreNews
     | SnapshotRequest
-    | LoadNews
+    | LoadReport
     | PromptNews
     | PlacementNews
     | PlacerBeacon
@@ -221,17 +221,17 @@
 )
 
 
-def topic_of(news: News) -> str:
+def topic_of(news: EntryMessage) -> str:
     """Return the kind of a message, as metrics and logs name it."""
     return news.__struct_config__.tag
 
 
-def encode_news(news: News) -> bytes:
+def encode_news(news: EntryMessage) -> bytes:
     """Return a message as CBOR, compressed where that pays."""
     return pack(cbor2.dumps(msgspec.to_builtins(news)))
 
 
-def decode_news(body: bytes, peer: str) -> News:
+def decode_news(body: bytes, peer: str) -> EntryMessage:
     """Return the message.
 
     Raises
@@ -240,6 +240,6 @@
         The bytes are not a message that is known.
     """
     try:
-        return msgspec.convert(cbor2.loads(unpack(body)), News)
+        return msgspec.convert(cbor2.loads(unpack(body)), EntryMessage)
     except _DECODE_FAILURES as error:
         raise PeerMessageInvalid(str(error), step="news.decode", peer=peer) from error
--- a/chutelink/entry/pending.py
+++ b/chutelink/entry/pending.py
@@ -12,13 +12,13 @@
 ANNOUNCEMENT_VALID_S = 1.5
 """Announcements come every 0.4 s; without them nothing is known of loads."""
 
-OVERDUE_S = 0.5
+OVERDUE_TOLERANCE_S = 0.5
 """How much later than announced a load is still expected.
 
 A placer announces a late load anew; what is not announced any more is not waited for.
 """
 
-COLD_KEPT_S = 30.0
+COLD_LOAD_HISTORY_S = 30.0
 """How long the begin of a cold load is kept; operators count over some seconds."""
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self._ready_s: dict[tuple[ModelName, AdapterName], float] = {}
-        self._older_s: dict[tuple[ModelName, AdapterName], float] = {}
+        self._previous_term_s: dict[tuple[ModelName, AdapterName], float] = {}
         self._queued_s: dict[ModelName, float] = {}
         self._endpoint_ready_s: dict[EndpointId, float] = {}
         self._cold_s: dict[tuple[EndpointId, ModelName], float] = {}
@@ -49,11 +49,11 @@
         self._heard_s = now_s
         if term != self._term:
             self._term = term
-            self._older_s |= self._ready_s
-        self._older_s = {
+            self._previous_term_s |= self._ready_s
+        self._previous_term_s = {
             key: ready_s
-            for key, ready_s in self._older_s.items()
-            if now_s < ready_s + OVERDUE_S
+            for key, ready_s in self._previous_term_s.items()
+            if now_s < ready_s + OVERDUE_TOLERANCE_S
         }
         self._ready_s = {}
         for load in loads:
@@ -61,17 +61,17 @@
             ready_s = now_s + load.ready_in_s
             self._ready_s[key] = min(ready_s, self._ready_s.get(key, ready_s))
         self._queued_s = {load.model: now_s + load.ready_in_s for load in queued}
-        self._note_cold(loads, now_s)
+        self._record_cold_loads(loads, now_s)
         for load in loads:
             if not load.adapter:
                 self._endpoint_ready_s[load.endpoint] = now_s + load.ready_in_s
         self.signal()
 
-    def _note_cold(self, loads: list[PendingLoad], now_s: float) -> None:
+    def _record_cold_loads(self, loads: list[PendingLoad], now_s: float) -> None:
         self._cold_s = {
             key: begun_s
             for key, begun_s in self._cold_s.items()
-            if now_s - begun_s < COLD_KEPT_S
+            if now_s - begun_s < COLD_LOAD_HISTORY_S
         }
         for load in loads:
             if load.is_cold:
@@ -102,13 +102,13 @@
         Of one that is queued, at the earliest.
         Nothing is known of a load that is overdue: announcements may have stopped.
         """
-        for known in (self._ready_s, self._older_s):
+        for known in (self._ready_s, self._previous_term_s):
             for key in ((model, adapter), (model, NO_ADAPTER)):
                 ready_s = known.get(key)
-                if ready_s is not None and now_s < ready_s + OVERDUE_S:
+                if ready_s is not None and now_s < ready_s + OVERDUE_TOLERANCE_S:
                     return ready_s
         queued_s = self._queued_s.get(model)
-        is_known = queued_s is not None and now_s < queued_s + OVERDUE_S
+        is_known = queued_s is not None and now_s < queued_s + OVERDUE_TOLERANCE_S
         return queued_s if is_known else None
 
     async def async_wait(self, limit_s: float) -> None:
--- a/chutelink/entry/stopping.py
+++ b/chutelink/entry/shutdown.py
@@ -8,13 +8,13 @@
 
 from .config import Route
 
-STREAMS_TO_END = 2.0
+STREAM_DURATION_FACTOR = 2.0
 """Mean streams after which nearly all have ended: their lengths vary by half."""
-ELSEWHERE_RETRY_S = 0.02
+OTHER_DAEMON_RETRY_S = 0.02
 """When to come back: at once, on a connection to another daemon."""
 
 
-def can_end(route: Route, left_s: float, stream_s: float) -> bool:
+def can_finish(route: Route, left_s: float, stream_s: float) -> bool:
     """Return whether a request most likely ends in the time that is left.
 
     Parameters
@@ -28,4 +28,4 @@
     """
     if not route.is_stream:
         return left_s > (route.timeout_s or route.objective_s)
-    return left_s > route.objective_s + STREAMS_TO_END * stream_s
+    return left_s > route.objective_s + STREAM_DURATION_FACTOR * stream_s
--- a/chutelink/entry/state.py
+++ b/chutelink/entry/state.py
@@ -18,7 +18,7 @@
 from ..watching.followed import RowChange
 from .adapter import PlatformAdapter
 from .config import RouteTable
-from .endpoints import Endpoint, EndpointRecord, EndpointTable, Registered
+from .endpoints import Endpoint, EndpointRecord, EndpointTable, RegistrationResult
 
 PREFIX_ENDPOINTS = f"{TABLE_ENDPOINTS}/"
 DEFAULT_LAPSE_S = 4.0
@@ -53,7 +53,7 @@
         self._adapter = adapter
         self.routes: RouteTable | None = None
         self.endpoints = EndpointTable()
-        self.endpoints.on_restarted = self._note_restart
+        self.endpoints.on_restarted = self._handle_restart
         self.endpoints.on_leaving = lambda record: self.on_endpoints()
         self.health = HealthTable()
         self.prefixes = PrefixTable()
@@ -67,15 +67,15 @@
         """Take in a row that has changed."""
         if change.key == KEY_ROUTING_CONFIG:
             if change.value is not None:
-                self._take_config(change.value)
+                self._apply_config(change.value)
         elif change.key.startswith(PREFIX_ENDPOINTS):
             name = change.key[len(PREFIX_ENDPOINTS) :]
             if change.value is None:
-                self._lose_endpoint(EndpointId(name), change)
+                self._handle_removed_row(EndpointId(name), change)
             else:
-                self._take_endpoint(name, change)
+                self._apply_endpoint(name, change)
 
-    def _take_config(self, value: Any) -> None:
+    def _apply_config(self, value: Any) -> None:
         try:
             config = self._adapter.decode_config(value)
         except ConfigInvalid as error:
@@ -106,20 +106,20 @@
         )
         self.on_config()
 
-    def _take_endpoint(self, name: str, change: RowChange) -> None:
+    def _apply_endpoint(self, name: str, change: RowChange) -> None:
         try:
             record = self._adapter.decode_endpoint(name, change.value)
         except EndpointFailed as error:
-            self._refuse_endpoint(EndpointId(name), error)
+            self._reject_endpoint(EndpointId(name), error)
             return
         now_s = self._core.clock()
         if change.is_restored:
-            meant = self.endpoints.put_restored(record, now_s, self._lapse_s)
+            result = self.endpoints.put_restored(record, now_s, self._lapse_s)
         else:
-            meant = self.endpoints.put(record, now_s)
-        if meant is Registered.OUTDATED:
+            result = self.endpoints.put(record, now_s)
+        if result is RegistrationResult.OUTDATED:
             return
-        if meant is not Registered.SAME:
+        if result is not RegistrationResult.SAME:
             self._core.events.record(
                 "endpoint_seen",
                 endpoint=record.id,
@@ -134,14 +134,14 @@
             )
         self.on_endpoints()
 
-    def _refuse_endpoint(self, endpoint: EndpointId, error: EndpointFailed) -> None:
+    def _reject_endpoint(self, endpoint: EndpointId, error: EndpointFailed) -> None:
         """Send nothing to what a row named before that now names no endpoint."""
         self._core.events.warning("endpoint_refused", endpoint=endpoint, error=error)
         row = self.endpoints.remove(endpoint)
         if row is not None:
             self._forget(row, "refused")
 
-    def _note_restart(self, before: EndpointRecord, record: EndpointRecord) -> None:
+    def _handle_restart(self, before: EndpointRecord, record: EndpointRecord) -> None:
         """Forget what was learned of the process before; its speed is the VM's."""
         self._core.events.record(
             "endpoint_restarted",
@@ -158,7 +158,7 @@
         """Return how long ago this daemon sent a request there, infinite if never."""
         return self._core.clock() - self.endpoints.rows[endpoint].last_sent_s
 
-    def _lose_endpoint(self, endpoint: EndpointId, change: RowChange) -> None:
+    def _handle_removed_row(self, endpoint: EndpointId, change: RowChange) -> None:
         row = self.endpoints.rows.get(endpoint)
         if row is None:
             return
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -8,20 +8,20 @@
 import pytest
 
 from chutelink.entry.directory import count_candidates
-from chutelink.entry.membership import FormerFleet, Registration
+from chutelink.entry.membership import PreviousFleet, Registration
 from chutelink.ids import FIRST_ERA
 
 from ..fakes import FakeTable, make_core
 
 
-def register(table: FakeTable, name: str, capacity: float) -> FormerFleet:
+def register(table: FakeTable, name: str, capacity: float) -> PreviousFleet:
     core = make_core(name)
     mesh = SimpleNamespace(linked_members=set, set_seeds=lambda seeds: None)
     found = []
     registration = Registration(
-        core, table, mesh, f"{name}:1", capacity, looks_back=True
+        core, table, mesh, f"{name}:1", capacity, reads_previous_fleet=True
     )
-    registration.on_former = found.append
+    registration.on_previous_fleet = found.append
     asyncio.run(registration._async_register())
     asyncio.run(registration._async_register())
     assert len(found) == 1
@@ -31,8 +31,8 @@
 def test_a_daemon_learns_when_the_process_before_it_began():
     """One that was restarted within a quota's window must not begin with a share."""
     table = FakeTable()
-    assert register(table, "d1", 2.0) == FormerFleet(None, [2.0])
-    assert register(table, "d2", 2.0) == FormerFleet(None, [2.0, 2.0])
+    assert register(table, "d1", 2.0) == PreviousFleet(None, [2.0])
+    assert register(table, "d2", 2.0) == PreviousFleet(None, [2.0, 2.0])
     again = register(table, "d1", 2.0)
     assert again.own_began_ago_s is not None
     assert sorted(again.capacities) == [2.0, 2.0]
--- a/tests/entry/test_newsdesk.py
+++ b/tests/entry/test_message_router.py
@@ -7,14 +7,14 @@
 import pytest
 
 from chutelink.entry.demand import DemandTable
-from chutelink.entry.endpoints import PLACED_VALID_S, EndpointTable
+from chutelink.entry.endpoints import PLACER_TIMEOUT_S, EndpointTable
+from chutelink.entry.message_router import MessageRouter
 from chutelink.entry.news import (
     PendingLoad,
     PlacementNews,
     PlacerBeacon,
     encode_news,
 )
-from chutelink.entry.newsdesk import NewsDesk
 from chutelink.entry.pending import PendingTable
 from chutelink.peers.messages import Broadcast
 from chutelink.quarantine.service import Quarantine
@@ -25,14 +25,14 @@
 LOAD = PendingLoad("i-1", "m1", "", 4.0)
 
 
-class Desk:
+class RouterHarness:
     def __init__(self):
         self.core = make_core("d3")
         self.pending = PendingTable()
         self.mesh = SimpleNamespace(direct=set())
         known = SimpleNamespace(endpoints=EndpointTable())
         directory = SimpleNamespace(serving=list)
-        self.desk = NewsDesk(
+        self.router = MessageRouter(
             self.core,
             self.mesh,
             directory,
@@ -44,34 +44,34 @@
             make_quotas(self.core),
         )
         self.heard = []
-        self.desk.lease = SimpleNamespace(
+        self.router.lease = SimpleNamespace(
             note_holder=lambda daemon, term: self.heard.append((daemon, term))
         )
 
-    def take(self, news):
+    def deliver(self, news):
         body = encode_news(news)
-        self.desk.take(Broadcast(news.daemon, "boot", 1, body))
+        self.router.handle_broadcast(Broadcast(news.daemon, "boot", 1, body))
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def harness():
+    return RouterHarness()
 
 
-def test_a_former_placers_late_news_replace_nothing(desk):
+def test_a_former_placers_late_news_replace_nothing(harness):
     """It froze after its last message was written, and it arrives when it wakes."""
-    desk.take(PlacementNews("d2", 2, [], [LOAD]))
-    desk.core.now_s += 0.5
-    desk.take(PlacementNews("d1", 1, [], []))
-    desk.take(PlacerBeacon("d1", 1))
-    assert desk.pending.ready_s("m1", "", desk.core.now_s) is not None
-    assert desk.mesh.direct == {"d2"}
-    assert desk.heard == [("d2", 2)]
+    harness.deliver(PlacementNews("d2", 2, [], [LOAD]))
+    harness.core.now_s += 0.5
+    harness.deliver(PlacementNews("d1", 1, [], []))
+    harness.deliver(PlacerBeacon("d1", 1))
+    assert harness.pending.ready_s("m1", "", harness.core.now_s) is not None
+    assert harness.mesh.direct == {"d2"}
+    assert harness.heard == [("d2", 2)]
 
 
-def test_a_placer_of_a_lower_term_counts_when_the_other_is_long_silent(desk):
+def test_a_placer_of_a_lower_term_counts_when_the_other_is_long_silent(harness):
     """The row was lost, and terms have begun anew."""
-    desk.take(PlacerBeacon("d2", 7))
-    desk.core.now_s += PLACED_VALID_S + 0.1
-    desk.take(PlacerBeacon("d1", 1))
-    assert desk.mesh.direct == {"d1"}
+    harness.deliver(PlacerBeacon("d2", 7))
+    harness.core.now_s += PLACER_TIMEOUT_S + 0.1
+    harness.deliver(PlacerBeacon("d1", 1))
+    assert harness.mesh.direct == {"d1"}
--- a/tests/entry/test_pending.py
+++ b/tests/entry/test_pending.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from chutelink.entry.news import PendingLoad
-from chutelink.entry.pending import OVERDUE_S, PendingTable
+from chutelink.entry.pending import OVERDUE_TOLERANCE_S, PendingTable
 
 
 def test_a_load_is_known_until_it_is_not_announced_any_more():
@@ -22,7 +22,7 @@
     table.take([PendingLoad("i-1", "m1", "", 4.0)], 1, now_s)
     table.take([], 2, 102.0)
     assert table.ready_s("m1", "", now_s) == 104.0
-    now_s = 104.0 + OVERDUE_S
+    now_s = 104.0 + OVERDUE_TOLERANCE_S
     table.take([], 2, now_s)
     assert table.ready_s("m1", "", now_s) is None
 
@@ -31,4 +31,4 @@
     table = PendingTable()
     table.take([PendingLoad("i-1", "m1", "", 4.0)], 1, 100.0)
     assert table.ready_s("m1", "", 104.0) == 104.0
-    assert table.ready_s("m1", "", 104.0 + OVERDUE_S) is None
+    assert table.ready_s("m1", "", 104.0 + OVERDUE_TOLERANCE_S) is None
