--- a/chutelink/entry/__init__.py
+++ b/chutelink/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry program: relays opaque requests to endpoints that come and go."""
+"""Entry daemon: relays opaque requests to a changing set of endpoints."""
--- a/chutelink/entry/adapter.py
+++ b/chutelink/entry/adapter.py
@@ -1,4 +1,4 @@
-"""What an entry daemon needs of the platform that it runs on."""
+"""Interface between the entry daemon and the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlatformAdapter(ABC):
-    """Makes the parts that speak one platform's protocols."""
+    """Creates the components that implement one platform's protocols."""
 
     @abstractmethod
     def make_table(
@@ -31,35 +31,35 @@
         settings: PlatformSection,
         on_retry: Callable[[ReadRetry], None],
     ) -> WatchedTable:
-        """Return the table service; reads are sent a second time when unanswered."""
+        """Return the table service client, which sends an unanswered read again."""
 
     @abstractmethod
     def make_engine_client(self, session: aiohttp.ClientSession) -> EngineClient:
-        """Return the client for reports and orders."""
+        """Return the client for the reports and orders of endpoints."""
 
     @abstractmethod
     def make_dialect(self) -> Dialect:
-        """Return the codec of callers' and endpoints' headers."""
+        """Return the codec for the headers of callers and endpoints."""
 
     @abstractmethod
     def decode_config(self, value: Any) -> RoutingConfig:
-        """Return a configuration from its row."""
+        """Return the configuration decoded from its row."""
 
     @abstractmethod
     def decode_endpoint(self, name: str, value: Any) -> EndpointRecord:
-        """Return an endpoint's record from its row."""
+        """Return the endpoint record decoded from its row."""
 
     @abstractmethod
     def compact_row(self, key: str, value: Any) -> Any:
-        """Return a row's value as daemons keep it and tell each other.
+        """Return the form of a row's value that daemons store and exchange.
 
-        Without what changes with every sign of life, and without callers' keys.
+        It omits fields that change with every heartbeat, and callers' keys.
         """
 
     @abstractmethod
     def make_directory_handler(self, directory: Directory) -> Handler:
-        """Return the handler of callers' questions for addresses."""
+        """Return the handler for address lookups by callers."""
 
     @abstractmethod
     def make_ready_handler(self, is_ready: Callable[[], bool]) -> Handler:
-        """Return the handler of the readiness check."""
+        """Return the handler for readiness checks."""
--- a/chutelink/entry/app.py
+++ b/chutelink/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry daemon's application object: wiring only."""
+"""Application object of the entry daemon: creates and connects its components."""
 
 from __future__ import annotations
 
@@ -45,43 +45,44 @@
 MS_PER_S = 1000.0
 JOIN_POLL_S = 0.02
 LOAD_REPORT_PERIOD_S = 0.2
-"""How often other daemons hear what is under way; choices are as old at most."""
+"""Interval of load reports to other daemons, which bounds how stale routing data is."""
 CACHED_ADDRESS_FACTOR = 3
-"""Some callers keep an answer three times as long as they should."""
+"""Some callers cache a directory response for three times its validity."""
 SHUTDOWN_MARGIN_S = 0.8
-"""Left of the grace for closing down."""
+"""Part of the grace period that is reserved for shutting down."""
 DRAIN_POLL_S = 0.05
 REFUSE_WAITING_LEAD_S = 0.5
-"""How long before the end requests are refused that still wait for a model."""
+"""Time before the drain deadline at which requests waiting for a model are refused."""
 CACHE_TIME_MARGIN = 1.1
 QUARANTINE_WAIT_S = 1.5
-"""How long after a start requests wait for what is kept away: two tries of a read.
+"""Time after a start for which readiness waits for the quarantine table.
 
-The store may be away in part, and serving does not need that table.
+This allows two attempts to read it. The store may be partially unavailable, and
+serving does not depend on that table.
 """
 MIN_LAPSE_HEARTBEATS = 2
-"""Heartbeats that an endpoint misses at least before its registration lapses.
+"""Minimum number of heartbeats an endpoint misses before its registration lapses.
 
-It lapses after three intervals, and the last heartbeat that arrived may have been up to
-one before the store went away.
+A registration lapses after three intervals, and the last heartbeat that arrived may
+precede a store outage by up to one interval.
 """
 MAX_LAPSE_HEARTBEATS = 4
-"""Heartbeats after which the registration of an endpoint that ended has lapsed."""
+"""Heartbeat intervals after which a terminated endpoint's registration has lapsed."""
 MAX_HEADER_BYTES = 64 * 1024
-"""What the parser takes; the configuration's limit is checked afterwards."""
+"""Limit of the HTTP parser; the configured limit is checked afterwards."""
 
 
 class EntryApp(Application):
-    """Answers callers on one VM, and places models while it holds the lease.
+    """Serves callers on one VM, and places models while it holds the placer lease.
 
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     adapter : PlatformAdapter
-        Speaks the platform's protocols.
+        Implements the platform's protocols.
     caller_listener : socket.socket, optional
-        Queues callers' connections already.
+        Socket that is already listening for callers.
     """
 
     def __init__(
@@ -126,7 +127,7 @@
         self._listeners: list[asyncio.Server] = []
 
     async def async_setup_parts(self) -> None:
-        """Create the parts, then start them."""
+        """Create and connect the components, then start them."""
         entry = self.settings.entry
         bound_s = min(entry.config_apply_ms, entry.drain_ms) / MS_PER_S
         table = self._adapter.make_table(
@@ -226,7 +227,7 @@
         self.placer.paces.excess = self.settings.entry.cold_load_excess
 
     async def _async_listen(self) -> None:
-        """Listen for operators, then for callers and their questions."""
+        """Listen for operators, callers, address lookups and readiness checks."""
         await super()._async_listen()
         entry = self.settings.entry
         self._caller_server = web.Server(
@@ -248,7 +249,7 @@
     async def _async_serve(
         self, listen: str, server: web.Server, opened: socket.socket | None = None
     ) -> None:
-        """Take connections, of a socket that was opened earlier if there is one."""
+        """Accept connections on ``listen``, or on ``opened`` if it is given."""
         loop = asyncio.get_running_loop()
         if opened is not None:
             listener = await loop.create_server(
@@ -262,13 +263,17 @@
         self._listeners.append(listener)
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the routes for operators."""
+        """Add the HTTP routes for operators."""
         key = self.settings.platform.key
         QuarantineHandlers(self.quarantine, key).add_routes(app)
         CustomerHandlers(self.quotas.keeper, self.daemon_id, key).add_routes(app)
 
     def is_ready(self) -> bool:
-        """Return whether routes and endpoints are known, and holds as far as may be."""
+        """Return whether the routes and endpoints are known.
+
+        The quarantine table must be known as well, unless reading it takes longer
+        than ``QUARANTINE_WAIT_S``.
+        """
         if self.watch is None or self.known.routes is None:
             return False
         if not self.watch.has_read(TABLE_CONFIG, TABLE_ENDPOINTS):
@@ -277,13 +282,14 @@
         return is_late or self.watch.has_read(TABLE_QUARANTINE)
 
     def is_serving(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether callers may use this daemon."""
         return self.is_ready() and not self.is_draining
 
     def rank(self) -> int:
-        """Return this daemon's place among the live ones, 0 for the first.
+        """Return this daemon's rank among the live daemons, starting at 0.
 
-        Large VMs come first: they read for the others and place models.
+        Daemons on large VMs come first: they read the store on behalf of the others
+        and place models.
         """
         own = self.members.own
         return sum(
@@ -319,12 +325,12 @@
         self.placer.wake()
 
     def take_settings(self, settings: EntrySettings) -> None:
-        """Take over what may change while running; addresses may not."""
+        """Apply reloaded settings; listen addresses can't change while running."""
         self.settings = settings
 
     @Service.task
     async def _async_join(self) -> None:
-        """Let callers be sent here once this daemon can serve them."""
+        """Announce this daemon to callers once it can serve them."""
         while not self.is_ready():
             await self.sleep(JOIN_POLL_S)
         if not self.is_draining:
@@ -333,7 +339,7 @@
 
     @Service.task
     async def _async_report_load(self) -> None:
-        """Tell the others now and then, and at once when a request waits."""
+        """Send load reports periodically, and immediately for urgent changes."""
         while not self.should_stop:
             try:
                 async with asyncio.timeout(LOAD_REPORT_PERIOD_S):
@@ -350,7 +356,7 @@
                 self.router.send(news)
 
     async def async_drain(self) -> None:
-        """Leave: out of the answers first, then no new connections, then stop."""
+        """Drain: leave the directory, then refuse connections, then finish requests."""
         grace_end_s = self.drain_requested_s + self.settings.entry.grace_s
         grace_end_s -= SHUTDOWN_MARGIN_S
         self.callers.end_by(grace_end_s)
@@ -362,7 +368,7 @@
             await asyncio.sleep(DRAIN_POLL_S)
         for listener in self._listeners:
             listener.close()
-        # What was accepted a moment ago becomes a connection in the next turns.
+        # Sockets accepted just now become connections in the next loop iterations.
         await asyncio.sleep(DRAIN_POLL_S)
         while close_idle(self._caller_server) and self.clock() < grace_end_s:
             if self.clock() > grace_end_s - REFUSE_WAITING_LEAD_S:
@@ -371,7 +377,7 @@
         self.events.info("drained", left=self.callers.in_flight)
 
     async def on_shutdown(self) -> None:
-        """Close what was opened, after the parts have stopped."""
+        """Close listeners and connections after the components have stopped."""
         for listener in self._listeners:
             listener.close()
         if self._upstream is not None:
--- a/chutelink/entry/caller_server.py
+++ b/chutelink/entry/caller_server.py
@@ -1,4 +1,4 @@
-"""Put together what serves callers on one VM."""
+"""Assembles the server for callers from its relays and policies."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def make_caller_server(
     app: EntryApp, dialect: Dialect, upstream: Upstream
 ) -> CallerHttp:
-    """Return the server of callers, with its relays on the application's tables."""
+    """Return the server for callers, with relays that use the application's tables."""
     exchanges = _make_exchanges(app, dialect)
     customers = CustomerGate(
         app.quotas.keeper,
--- a/chutelink/entry/config.py
+++ b/chutelink/entry/config.py
@@ -1,4 +1,4 @@
-"""The configuration of routes and services that the operators write."""
+"""Routing configuration: routes, services and limits, as written by operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Retry semantics of the requests on a route."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -27,21 +27,21 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """One of the services that a route's requests are split over."""
+    """A service that receives a weighted share of a route's requests."""
 
     service: ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of a host and path prefix go, and what they may cost.
-
-    ``timeout_s`` is the longest time to the end of the answer; ``objective_s``
-    the time to the answer, or to the first event of a stream; ``priority`` is 0
-    for the most urgent; ``max_endpoints`` how many endpoints one request may be
-    sent to; ``patience_s`` how long callers wait for a stream's first event, or
-    between two, before they leave, 0 where they wait until their deadline;
-    ``is_anonymous`` says that callers need no key.
+    """Target services and limits of the requests for a host and path prefix.
+
+    ``timeout_s`` is the maximum time to the end of the response; ``objective_s`` the
+    target time to the response, or to the first event of a stream; ``priority`` is 0
+    for the most urgent; ``max_endpoints`` the maximum number of endpoints a request
+    may be sent to; ``patience_s`` how long callers wait for the first or next event
+    of a stream before they disconnect, 0 if they wait until their deadline;
+    ``is_anonymous`` allows callers without a key.
     """
 
     name: RouteName
@@ -61,22 +61,22 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether running a request twice does no harm."""
+        """Whether a request may safely be run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.is_resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
     def is_stream(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether responses are event streams."""
         return self.kind is RouteKind.STREAMING
 
 
 class ModelSpec(msgspec.Struct, frozen=True):
     """A model that an engine can load.
 
-    ``cold_load_s`` is the time from the weight store, ``disk_load_s`` and
-    ``memory_load_s`` from the endpoint's own copies.
+    ``cold_load_s`` is the load time from the weight store, ``disk_load_s`` and
+    ``memory_load_s`` the load times from the endpoint's local copies.
     """
 
     name: ModelName
@@ -89,10 +89,10 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """What the engines of a service can hold, and the pace of cold loads.
+    """Capacity of a service's engines, and the rate limit of cold loads.
 
-    ``models`` keeps the operators' order; ``disk_copies_mb`` is the room for copies
-    of weights on an endpoint's disk, 0 where it is not known.
+    ``models`` keeps the configured order; ``disk_copies_mb`` is the disk space for
+    copies of weights on an endpoint, 0 if it is unknown.
     """
 
     batch_slots: int
@@ -105,7 +105,7 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """A service; ``engine`` is None for a plain one."""
+    """A service; ``engine`` is None for a service without models."""
 
     name: ServiceName
     health_path: str
@@ -114,7 +114,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What callers may send, and how long they may take or stay idle."""
+    """Size limits and timeouts for callers."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -123,9 +123,9 @@
 
 
 class RoutingConfig(msgspec.Struct, frozen=True):
-    """One version, whole.
+    """A complete version of the routing configuration.
 
-    ``customers`` is None where callers need no keys at all.
+    ``customers`` is None if callers need no keys.
     """
 
     version: ConfigVersion
@@ -136,7 +136,7 @@
 
 
 class RouteTable:
-    """Finds the route of a request by host and longest prefix, and its customer."""
+    """Looks up routes by host and longest path prefix, and customers by key."""
 
     def __init__(self, config: RoutingConfig) -> None:
         self.config = config
@@ -154,7 +154,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route, or None."""
+        """Return the route of a host and path, or None."""
         name = host.lower().partition(":")[0]
         for route in self._by_host.get(name, ()):
             if path.startswith(route.prefix):
--- a/chutelink/entry/demand.py
+++ b/chutelink/entry/demand.py
@@ -1,4 +1,4 @@
-"""What is asked for, by model and adapter, over all daemons."""
+"""Request demand by model and adapter, aggregated over all daemons."""
 
 from __future__ import annotations
 
@@ -10,24 +10,25 @@
 from .news import ModelUse
 
 AVERAGING_S = 3.0
-"""Time constant of averages; demand moves on within some 5 s."""
+"""Time constant of the moving averages; demand shifts within about 5 s."""
 ASKS_DECAY_S = 8.0
-"""Time constant of the count by which a rare model earns a cold load."""
+"""Decay time constant of the request count that earns a rare model a cold load."""
 CLAIM_VALID_S = 20.0
-"""How long a model that is not asked for again keeps its turn.
+"""How long a model keeps its place in the load order without new requests.
 
-The longest that callers wait for an answer: who is told to come back does so by then.
+This is the longest time that callers wait for a response: a caller that was told to
+retry does so within it.
 """
 WAITING_VALID_S = 1.5
-"""How long a daemon's word on waiting requests counts without a newer one."""
+"""How long a daemon's count of waiting requests is valid without a newer report."""
 
 
 class UsageAverage(msgspec.Struct):
-    """Use of one model or adapter.
+    """Moving averages of the requests for one model or adapter.
 
-    ``work_per_s`` is seconds of an engine's time asked for a second; ``asks``
-    counts arrivals and fades slowly. ``denied_since_s`` is when a request first waited
-    that came after the last one that was served; None where none has waited since.
+    ``work_per_s`` is the requested engine time in seconds per second; ``asks`` is a
+    slowly decaying count of arrivals. ``denied_since_s`` is when the first request
+    since the last served one began to wait; None if none has waited since.
     """
 
     work_per_s: float = 0.0
@@ -38,14 +39,14 @@
     denied_since_s: float | None = None
 
     def note_outcome(self, *, is_served: bool, is_waiting: bool, now_s: float) -> None:
-        """Take in whether requests were served, and whether some wait."""
+        """Update ``denied_since_s``, given whether requests were served or wait."""
         if is_served or now_s - self.last_arrival_s > CLAIM_VALID_S:
             self.denied_since_s = None
         if is_waiting and self.denied_since_s is None:
             self.denied_since_s = now_s
 
     def decay(self, now_s: float) -> None:
-        """Bring the average to now."""
+        """Decay the averages to ``now_s``."""
         elapsed_s = max(0.0, now_s - self.updated_s)
         factor = math.exp(-elapsed_s / AVERAGING_S)
         self.work_per_s *= factor
@@ -55,7 +56,7 @@
 
 
 class ModelDemand(msgspec.Struct):
-    """What is asked of a model and all its adapters, as averages by now."""
+    """Current average demand for a model including all of its adapters."""
 
     work_per_s: float = 0.0
     arrivals_per_s: float = 0.0
@@ -63,7 +64,7 @@
 
 
 class _WaitingRequests(msgspec.Struct, frozen=True):
-    """Requests that wait at one daemon, as it last said."""
+    """Requests waiting at one daemon, from its latest report."""
 
     requests: int
     patient: int
@@ -71,7 +72,7 @@
 
 
 class DemandTable:
-    """Averages by model and adapter; the empty adapter stands for the model."""
+    """Demand by model and adapter; the empty adapter name denotes the base model."""
 
     def __init__(self) -> None:
         self.uses: dict[tuple[ModelName, AdapterName], UsageAverage] = {}
@@ -80,7 +81,7 @@
         ] = {}
 
     def take(self, daemon: DaemonId, uses: list[ModelUse], now_s: float) -> None:
-        """Take in what one daemon was asked for."""
+        """Apply the usage reported by one daemon."""
         for news in uses:
             key = (news.model, news.adapter)
             use = self.uses.setdefault(key, UsageAverage(updated_s=now_s))
@@ -97,7 +98,7 @@
             waiting[daemon] = _WaitingRequests(news.waiting, news.patient, now_s)
 
     def totals(self, now_s: float) -> dict[ModelName, ModelDemand]:
-        """Return the demand of every model that was asked for, in one pass."""
+        """Return the demand for every requested model, computed in one pass."""
         totals: dict[ModelName, ModelDemand] = {}
         for (name, _), use in self.uses.items():
             use.decay(now_s)
@@ -108,7 +109,7 @@
         return totals
 
     def asks(self, model: ModelName, now_s: float) -> float:
-        """Return how often a model was lately asked for, fading in some 8 s."""
+        """Return the number of recent requests for a model, decaying in about 8 s."""
         total = 0.0
         for (name, _), use in self.uses.items():
             if name == model:
@@ -117,7 +118,7 @@
         return total
 
     def has_patient(self, model: ModelName, now_s: float) -> bool:
-        """Return whether a request waits that has time for a cold load."""
+        """Return whether a waiting request has enough time left for a cold load."""
         return any(
             waiting.patient and now_s - waiting.heard_s < WAITING_VALID_S
             for (name, _), by_daemon in self._waiting.items()
@@ -126,10 +127,11 @@
         )
 
     def denied_s(self, now_s: float) -> dict[tuple[ModelName, AdapterName], float]:
-        """Return how long models and adapters have been waited for, refusals included.
+        """Return how long requests for models and adapters have been unserved.
 
-        Since the first request for each that came after the last one that was served.
-        A turn is so not lost with the request that asked for it.
+        The time counts from the first request after the last served one and includes
+        refused requests, so a model keeps its place in the load order when the
+        request that needed it is refused.
         """
         return {
             key: now_s - use.denied_since_s
@@ -139,12 +141,12 @@
         }
 
     def adapter_arrival_s(self, model: ModelName, adapter: AdapterName) -> float:
-        """Return when an adapter was last asked for."""
+        """Return when an adapter was last requested."""
         use = self.uses.get((model, adapter))
         return float("-inf") if use is None else use.last_arrival_s
 
     def waiting(self, now_s: float) -> dict[tuple[ModelName, AdapterName], int]:
-        """Return how many requests wait for each model and adapter."""
+        """Return the number of waiting requests by model and adapter."""
         counts: dict[tuple[ModelName, AdapterName], int] = {}
         for key, by_daemon in self._waiting.items():
             count = sum(
@@ -157,7 +159,7 @@
         return counts
 
     def recent(self, now_s: float, window_s: float) -> list[ModelName]:
-        """Return the models that were asked for lately, busiest first."""
+        """Return the models requested within the window, highest demand first."""
         totals = {
             name: total
             for name, total in self.totals(now_s).items()
--- a/chutelink/entry/dialect.py
+++ b/chutelink/entry/dialect.py
@@ -1,4 +1,4 @@
-"""What the relay must know of callers' and endpoints' headers."""
+"""Interface for the headers that callers and endpoints use."""
 
 from __future__ import annotations
 
@@ -12,19 +12,18 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A part of a prompt that several requests may share."""
+    """Part of a prompt that several requests may share."""
 
     id: str
     tokens: int
 
 
 class RequestMeta(msgspec.Struct, frozen=True):
-    """What a request says of itself.
+    """Metadata from the headers of a request.
 
-    ``deadline_s`` is how long the caller waits from now on; ``resume_after`` the
-    last event that it has; ``prompt`` the parts of the prompt in order;
-    ``counted_tokens`` what it counts against a quota in tokens, None where it
-    says nothing of tokens.
+    ``deadline_s`` is how long the caller waits from now on; ``resume_after`` the last
+    event that it received; ``prompt`` the parts of the prompt in order;
+    ``counted_tokens`` the tokens charged to a quota, None if the request states none.
     """
 
     id: RequestId
@@ -39,10 +38,10 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """What the relay adds to a request for one endpoint.
+    """Metadata that the relay adds to a request for one endpoint.
 
-    ``urgency`` is 0 for the first to be admitted, 9 for the last; ``customer`` who
-    the caller is, None where nobody is told.
+    ``urgency`` ranges from 0 (admitted first) to 9 (admitted last); ``customer`` is
+    the caller's customer, None if the endpoint isn't told.
     """
 
     endpoint: EndpointId
@@ -53,23 +52,24 @@
 
 
 class AnswerKind(Enum):
-    """What an endpoint's answer means for the request."""
+    """Meaning of an endpoint's response for the request."""
 
     ANSWERED = "answered"
-    """The endpoint's own answer, to be passed on unchanged."""
+    """The endpoint's own response, to be relayed unchanged."""
     NOT_RUN = "not_run"
-    """The request was not run there, and never will be."""
+    """The request was not run on the endpoint and never will be."""
     FOREIGN = "foreign"
-    """An answer to something else, or spoilt: nothing is known of the request."""
+    """A response to another request or a corrupt one; the outcome is unknown."""
 
 
 class EndpointSignals(msgspec.Struct, frozen=True):
-    """What an endpoint's answer says of the endpoint itself.
+    """State of an endpoint that it signals in a response.
 
-    ``limit_per_s`` is the number of requests a second that it takes from all daemons
-    together, None where it names no limit; ``is_leaving`` says that it will end soon;
-    ``pause_s`` for how long it wants nothing more from this daemon, None where it does
-    not say; ``unreadable`` names the headers whose values were ignored.
+    ``limit_per_s`` is the number of requests per second that it accepts from all
+    daemons together, None if it sets no limit; ``is_leaving`` says that it will
+    terminate soon; ``pause_s`` how long this daemon should send it no requests, None if
+    it does not ask for a pause; ``unreadable`` names the headers whose values were
+    ignored as invalid.
     """
 
     limit_per_s: float | None = None
@@ -83,24 +83,24 @@
 
     @abstractmethod
     def decode_request(self, headers: CIMultiDictProxy[str]) -> RequestMeta | None:
-        """Return what a request says of itself, or None without an id."""
+        """Return the metadata of a request, or None if it has no id."""
 
     @abstractmethod
     def remove_reserved(self, headers: CIMultiDict[str]) -> None:
-        """Drop what only this system may ask of an endpoint, as a caller sent it."""
+        """Remove headers from callers that only this system may send to endpoints."""
 
     @abstractmethod
     def encode_dispatch(self, headers: CIMultiDict[str], dispatch: Dispatch) -> None:
-        """Put what the relay adds into the headers for an endpoint."""
+        """Add the dispatch metadata to the headers for an endpoint."""
 
     @abstractmethod
     def classify(
         self, status: int, headers: CIMultiDictProxy[str], request: RequestId
     ) -> AnswerKind:
-        """Return what an answer means, from its status line and headers."""
+        """Return the meaning of a response, from its status and headers."""
 
     @abstractmethod
     def decode_signals(
         self, status: int, headers: CIMultiDictProxy[str]
     ) -> EndpointSignals:
-        """Return what an endpoint's answer says of the endpoint."""
+        """Return the state that an endpoint signals in a response."""
--- a/chutelink/entry/directory.py
+++ b/chutelink/entry/directory.py
@@ -1,4 +1,4 @@
-"""Which daemons serve callers, and the addresses that callers are told."""
+"""Selects the daemons that serve callers and lists their addresses."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from ..tables.members import Member, MemberState, MemberTable
 
 MIN_SERVING = 6
-"""Fewest daemons that are named: several may be lost at once."""
+"""Minimum number of daemons listed, as several may fail at once."""
 MAX_SERVING = 16
-"""Most daemons named in a failure domain.
+"""Maximum number of daemons listed for a failure domain.
 
-What daemons that serve tell each other grows with the square of their number.
+Traffic between serving daemons grows with the square of their number.
 """
 LARGE_CAPACITY_SHARE = 0.5
-"""VMs with this share of the largest one's capacity count as large."""
+"""Minimum share of the largest VM's capacity for a VM to count as large."""
 PRESENT_STATES = (MemberState.JOINING, MemberState.ALIVE)
 
 
 def count_candidates(capacities: Iterable[float]) -> int:
-    """Return how many of some daemons serve: the large ones, and at least a few."""
+    """Return how many daemons serve: all large ones, but at least ``MIN_SERVING``."""
     ordered = sorted(capacities, reverse=True)
     large = [c for c in ordered if c >= LARGE_CAPACITY_SHARE * ordered[0]]
     return min(len(ordered), max(MIN_SERVING, len(large)))
 
 
 class Directory:
-    """Addresses of the daemons that serve callers now.
+    """Addresses of the daemons that currently serve callers.
 
-    Large VMs serve, and small ones only where those are too few.
+    Daemons on large VMs serve, and those on small VMs only if there are too few.
 
     Parameters
     ----------
     members : MemberTable
-        The daemons.
+        Membership of the daemons.
     valid_s : float
-        How long callers may keep an answer.
+        How long callers may cache a response.
     """
 
     def __init__(self, members: MemberTable, valid_s: float) -> None:
@@ -45,14 +45,14 @@
         self.valid_s = valid_s
 
     def addresses(self, failure_domain: FailureDomainName) -> list[str]:
-        """Return the addresses for callers of a failure domain."""
+        """Return the addresses for callers in a failure domain."""
         members = self._for_domain(failure_domain, self._candidates())
         return [f"{member.address}:{member.port}" for member in members]
 
     def serving(self) -> set[DaemonId]:
-        """Return the daemons that callers may use: those named, and those leaving.
+        """Return the daemons that callers may use: the listed and the leaving ones.
 
-        Callers keep addresses for a while, so a daemon that leaves goes on serving.
+        Callers cache addresses, so a daemon that is leaving continues to serve.
         """
         candidates = self._candidates()
         rows = self._members.rows.values()
@@ -65,10 +65,11 @@
         return named | {m.id for m in rows if m.state is MemberState.LEAVING}
 
     def _candidates(self) -> list[Member]:
-        """Return the large members, and as many others as it takes.
+        """Return the large members, and others up to the required number.
 
-        Large ones that are about to join count: else all others that are ready before
-        them would serve while a fleet starts, and link to one another.
+        Large members that are still joining are counted. Otherwise all small members
+        that are ready earlier would serve, and link to each other, while a fleet
+        starts.
         """
         rows = self._members.rows.values()
         alive = [member for member in rows if member.state is MemberState.ALIVE]
--- a/chutelink/entry/endpoints.py
+++ b/chutelink/entry/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of all services, as this daemon knows them."""
+"""Endpoints of all services, with their load and state as seen by this daemon."""
 
 from __future__ import annotations
 
@@ -28,36 +28,39 @@
 
 NO_ADAPTER = AdapterName("")
 UNKNOWN_SEQUENCE = -1
-"""Before a report was read, nothing is known of the orders accepted."""
+"""Order sequence before the first report of an endpoint has been read."""
 PLACER_TIMEOUT_S = 3.0
-"""Registrations are up to 2 s old; a placer speaks every 0.4 s."""
+"""How long a placer's messages take precedence over registrations.
+
+Registrations are up to 2 s old; a placer sends a message every 0.4 s.
+"""
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class RegistrationResult(Enum):
-    """What a registration meant for what is known."""
+    """Effect of a registration on the endpoint table."""
 
     SAME = "same"
     CHANGED = "changed"
-    """It changes what may be sent."""
+    """It is new, or changes whether requests may be sent."""
     RESTARTED = "restarted"
-    """It is of another process, that knows nothing of before."""
+    """It is from a new process, which has none of the previous state."""
     OUTDATED = "outdated"
-    """It is of a process that has ended, or of before it said that it leaves."""
+    """It is from an ended process, or predates the process's drain notice."""
 
 
 class EndpointRecord(msgspec.Struct, frozen=True):
-    """What an endpoint registered of itself.
+    """Registration of an endpoint.
 
-    ``models`` holds the adapters of each resident model, as of some seconds ago;
-    ``born_ms`` is the Unix time of its process's start, 0 where it says none: an
-    endpoint may start again under its id, and knows nothing of before.
+    ``models`` maps each resident model to its adapters, as of some seconds ago;
+    ``born_ms`` is the Unix time at which the process started, 0 if unknown: an
+    endpoint may restart under the same id, without its previous state.
     """
 
     id: EndpointId
@@ -71,17 +74,17 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The name of this process of the endpoint."""
+        """Identifier of this process of the endpoint."""
         return incarnation_of(self.id, self.born_ms)
 
 
 class Endpoint:
-    """One endpoint: its record, and what this daemon has learned of it.
+    """An endpoint: its record and the state observed by this daemon.
 
     Parameters
     ----------
     record : EndpointRecord
-        As registered.
+        Registration of the endpoint.
     """
 
     def __init__(self, record: EndpointRecord) -> None:
@@ -99,40 +102,40 @@
         self.lapsed_until_s: float | None = None
         self.limit = LimitState()
         self.paused_until_s = float("-inf")
-        """Until when it wants nothing more from this daemon."""
+        """End of the pause that it requested from this daemon."""
         self.unconfirmed_until_s = float("-inf")
-        """Until when its row may be one that lapses, of a process that has ended."""
+        """Until when its row may be that of an ended process that has yet to lapse."""
         self.is_leaving = False
-        """Whether it has said so, in an answer or in a registration."""
+        """Whether it announced its shutdown, in a response or in a registration."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether it takes new work by its own account."""
+        """Whether it accepts new requests, according to its own announcements."""
         return self.record.state is EndpointState.READY and not self.is_leaving
 
     def is_usable(self, now_s: float) -> bool:
-        """Return whether it may be sent new work."""
+        """Return whether new requests may be sent to it."""
         if self.lapsed_until_s is not None and now_s >= self.lapsed_until_s:
             return False
         return self.is_ready and now_s >= self.unconfirmed_until_s
 
     def is_paused(self, now_s: float) -> bool:
-        """Return whether it has asked this daemon to send nothing for now."""
+        """Return whether it has asked this daemon to pause requests."""
         return now_s < self.paused_until_s
 
     def open_from_s(self, now_s: float) -> float | None:
-        """Return when it takes requests again, None where nothing keeps them away."""
+        """Return when it accepts requests again, None if it is unrestricted."""
         if self.limit.is_limited:
             return max(self.limit.next_send_s, self.paused_until_s)
         return self.paused_until_s if self.is_paused(now_s) else None
 
     @property
     def total_requests(self) -> int:
-        """Requests under way from all daemons."""
+        """Requests in flight from all daemons."""
         return self.requests + self.other_requests
 
     def running(self, model: ModelName) -> int:
-        """Return how many requests for a model or its adapters are under way."""
+        """Return the number of requests in flight for a model and its adapters."""
         prefix = f"{model}/"
         return sum(
             count
@@ -142,12 +145,12 @@
         )
 
     def running_adapter(self, model: ModelName, adapter: AdapterName) -> int:
-        """Return how many requests for an adapter are under way."""
+        """Return the number of requests in flight for an adapter."""
         ref = model_ref(model, adapter)
         return self.by_ref[ref] + self.other_by_ref[ref]
 
     def holds(self, model: ModelName, adapter: AdapterName = NO_ADAPTER) -> bool:
-        """Return whether a model and adapter can be asked for here."""
+        """Return whether a model and adapter can be requested here."""
         adapters = self.models.get(model)
         if adapters is None or model in self.closing:
             return False
@@ -158,13 +161,13 @@
         sequence: int,
         models: dict[ModelName, frozenset[AdapterName]],
     ) -> None:
-        """Take in what it holds after a number of orders, unless it is older."""
+        """Set the resident models as of an order sequence, unless that is outdated."""
         if sequence >= self.sequence:
             self.sequence = sequence
             self.models = models
 
     def update_record(self, record: EndpointRecord, has_placer: bool) -> None:
-        """Take in a registration; what a placer has said is newer."""
+        """Apply a registration; models announced by a placer are newer."""
         self.record = record
         self.lapsed_until_s = None
         if not has_placer or self.sequence == UNKNOWN_SEQUENCE:
@@ -172,13 +175,13 @@
 
 
 def _is_older_state(known: EndpointRecord, record: EndpointRecord) -> bool:
-    """Return whether a record of the same process is of before it began to leave."""
+    """Return whether a record predates the draining state of the same process."""
     is_leaving = known.state is EndpointState.DRAINING
     return is_leaving and record.state is EndpointState.READY
 
 
 class EndpointTable:
-    """Endpoints by id, and by the service that they belong to."""
+    """Endpoints by id and by service."""
 
     def __init__(self) -> None:
         self.rows: dict[EndpointId, Endpoint] = {}
@@ -189,12 +192,12 @@
         self.on_restarted: Callable[[EndpointRecord, EndpointRecord], None] = (
             lambda before, record: None
         )
-        """Called with the records of the process before and of the new one."""
+        """Called with the records of the previous and the new process."""
         self.on_leaving: Callable[[EndpointRecord], None] = lambda record: None
-        """Called when a process has said that it leaves."""
+        """Called when a process has announced its shutdown."""
 
     def of_service(self, service: ServiceName, now_s: float) -> list[Endpoint]:
-        """Return the endpoints of a service that take new work."""
+        """Return the endpoints of a service that accept new requests."""
         return [
             row
             for row in self.rows.values()
@@ -202,11 +205,11 @@
         ]
 
     def put(self, record: EndpointRecord, now_s: float) -> RegistrationResult:
-        """Take in a registration; return what it meant."""
+        """Apply a registration and return its effect."""
         row = self.rows.get(record.id)
         if row is None:
             row = self.rows[record.id] = Endpoint(record)
-            # Its row may have been away while the store was.
+            # Its row may have been missing during a store outage.
             row.is_leaving = self._leaving.has(record.id, record.born_ms)
             self._record_draining(row)
             return RegistrationResult.CHANGED
@@ -223,10 +226,10 @@
     def put_restored(
         self, record: EndpointRecord, now_s: float, lapse_s: float
     ) -> RegistrationResult:
-        """Take in a registration that came back with an older copy of the store.
+        """Apply a registration that reappeared with an older copy of the store.
 
-        One that had been removed before is not used until that of a process that has
-        ended would have lapsed, which takes ``lapse_s`` without a sign of life.
+        An endpoint that had been removed before may have ended. It is not used for
+        ``lapse_s``, the time after which a registration without heartbeats lapses.
         """
         is_known = record.id in self.rows
         result = self.put(record, now_s)
@@ -246,9 +249,9 @@
         sequence: int,
         models: dict[ModelName, frozenset[AdapterName]],
     ) -> None:
-        """Take in what a process of an endpoint holds after a number of orders.
+        """Set the resident models of an endpoint process as of an order sequence.
 
-        Who says so may know of a restart before the registration does.
+        The sender may learn of a restart before the registration shows it.
         """
         row = self.rows.get(endpoint)
         if row is None or born_ms < row.record.born_ms:
@@ -259,10 +262,10 @@
         row.take_models(sequence, models)
 
     def note_leaving(self, endpoint: EndpointId, born_ms: int) -> bool:
-        """Take in that a process has said that it leaves; return whether that is new.
+        """Record that a process is shutting down; return whether that is new.
 
-        No registration of the same process takes it back: that of an endpoint that
-        leaves while the store is away says ``ready`` until the store is back.
+        Registrations of the same process don't revert this: if an endpoint shuts down
+        during a store outage, its row says ``ready`` until the store is back.
         """
         row = self.rows.get(endpoint)
         if row is None or row.is_leaving or born_ms != row.record.born_ms:
@@ -273,7 +276,7 @@
         return True
 
     def take_limit(self, news: EndpointLimit, now_s: float) -> None:
-        """Take in what another daemon has learned of an endpoint's limit."""
+        """Apply the limit of an endpoint that another daemon has received."""
         row = self.rows.get(news.endpoint)
         if row is None or news.born_ms != row.record.born_ms:
             return
@@ -283,16 +286,16 @@
             row.limit.note(news.limit_per_s, now_s)
 
     def _restart(self, before: Endpoint, record: EndpointRecord) -> Endpoint:
-        """Begin anew with another process of an endpoint."""
+        """Replace the state of an endpoint after its process restarted."""
         row = self.rows[record.id] = Endpoint(record)
         self._leaving.forget(record.id)
         self.on_restarted(before.record, record)
         return row
 
     def is_registered(self, record: EndpointRecord) -> bool:
-        """Return whether an endpoint is still there and has not said that it leaves.
+        """Return whether an endpoint is registered and not shutting down.
 
-        True too where its process has been replaced by another one since.
+        This is also true if its process has been replaced by another one since.
         """
         row = self.rows.get(record.id)
         if row is None or row.lapsed_until_s is not None:
@@ -300,25 +303,25 @@
         return row.is_ready
 
     def is_replaced(self, record: EndpointRecord) -> bool:
-        """Return whether an endpoint's process was followed by another one."""
+        """Return whether an endpoint's process has been replaced by a newer one."""
         row = self.rows.get(record.id)
         return row is not None and row.record.born_ms > record.born_ms
 
     def remove(self, endpoint: EndpointId) -> Endpoint | None:
-        """Drop an endpoint that is gone."""
+        """Remove an endpoint and return its row, if it existed."""
         row = self.rows.pop(endpoint, None)
         if row is not None:
             self._removed.note(endpoint, row.record.born_ms)
         return row
 
     def lapse(self, endpoint: EndpointId, until_s: float) -> None:
-        """Keep an endpoint for a while that vanished while the store was away."""
+        """Keep an endpoint that vanished during a store outage until ``until_s``."""
         row = self.rows.get(endpoint)
         if row is not None and row.lapsed_until_s is None:
             row.lapsed_until_s = until_s
 
     def expire(self, now_s: float) -> list[Endpoint]:
-        """Drop the endpoints that did not come back in time; return them."""
+        """Remove and return the endpoints that did not register again in time."""
         ended = [
             row
             for row in self.rows.values()
@@ -331,17 +334,17 @@
     def set_other_load(
         self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float
     ) -> None:
-        """Replace what another daemon has under way."""
+        """Replace the load of another daemon."""
         self._others.take(daemon, loads, now_s)
         self._sum_others()
 
     def forget_silent(self, now_s: float) -> None:
-        """Stop counting the load of daemons that have fallen silent."""
+        """Discard the load of daemons that no longer send reports."""
         if self._others.forget_silent(now_s):
             self._sum_others()
 
     def take_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
-        """Count a request that another daemon sent since it told of its load."""
+        """Add a request that another daemon sent since its last load report."""
         self._others.take_sent(daemon, load)
         self._add_other(load)
 
--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of an entry daemon: callers, addresses and readiness."""
+"""HTTP server for callers of an entry daemon."""
 
 from __future__ import annotations
 
@@ -31,29 +31,29 @@
 START_WAIT_S = 0.3
 """How long after a start requests wait for the configuration and the endpoints.
 
-Both take two calls of the store, some 10 ms; without an answer by then the store
-is away, and requests are refused.
+Loading both takes two calls to the store, about 10 ms. If there is no response by
+then, the store is unavailable and requests are refused.
 """
 START_POLL_S = 0.005
 DEFAULT_DEADLINE_S = 60.0
-"""For requests that name none, on routes that allow as much."""
+"""Deadline of requests that state none, capped by the timeout of the route."""
 
 
 class CallerHttp:
-    """Answers callers.
+    """Handles callers' requests.
 
     Parameters
     ----------
     core : Application
         The owner.
     exchanges : Exchanges
-        Tables and policies.
+        Shared tables and policies of the relays.
     relay, streams
-        Relays for whole answers and for streams.
+        Relays for complete responses and for streams.
     customers : CustomerGate
-        Knows keys and quotas.
+        Checks keys and quotas.
     routes : callable
-        Returns the routes in force, or None.
+        Returns the active routes, or None.
     is_ready : callable
         Returns whether routes and endpoints are known.
     """
@@ -81,15 +81,15 @@
         self.in_flight = 0
 
     def end_by(self, ends_s: float) -> None:
-        """Take only what can end by then: this daemon stops."""
+        """Accept only requests that can finish by then, as this daemon shuts down."""
         self._stop_deadline_s = ends_s
 
     def stop_waiting(self) -> None:
-        """Refuse the requests that no endpoint has got yet."""
+        """Refuse the requests that have not been sent to an endpoint yet."""
         self._exchanges.stop_waiting()
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request, whatever it is."""
+        """Handle one request, including invalid ones."""
         self.in_flight += 1
         started_s = self._core.clock()
         exchange: Exchange | None = None
@@ -107,7 +107,7 @@
             reason = refusal.title
             response = self._refuse(refusal)
         except (ConnectionError, asyncio.CancelledError):
-            # Nothing can be told any more.
+            # The connection is gone, so no response can be sent.
             outcome = (
                 "cut_at_stop" if self._is_cut_by_shutdown(request) else "caller_gone"
             )
@@ -123,14 +123,14 @@
     async def _async_accept(
         self, request: web.BaseRequest, admission: Admission, started_s: float
     ) -> Exchange:
-        """Check a request and read its body.
+        """Validate a request and read its body.
 
-        All that can be told from the headers is told before the body is read.
+        Whatever the headers allow is checked before the body is read.
 
         Raises
         ------
         Refusal
-            It can't be served; nothing was run.
+            The request can't be served and has not been run.
         """
         await self._async_until_ready()
         table = self._routes()
@@ -198,12 +198,12 @@
         )
 
     def _check_shutdown(self, route: Route, meta: RequestMeta) -> None:
-        """Refuse what this daemon could not see to its end before it stops.
+        """Refuse a request that can't finish before this daemon shuts down.
 
         Raises
         ------
         Refusal
-            Another daemon may serve it.
+            Another daemon may serve the request.
         """
         if self._stop_deadline_s is None:
             return
@@ -213,13 +213,13 @@
             raise unavailable("this daemon is stopping", OTHER_DAEMON_RETRY_S)
 
     async def _async_until_ready(self) -> None:
-        """Wait while this daemon has just started: the store answers in a moment."""
+        """Wait shortly after a start until the store has been read."""
         end_s = self._created_s + START_WAIT_S
         while not self._is_ready() and self._core.clock() < end_s:
             await asyncio.sleep(START_POLL_S)
 
     def _is_cut_by_shutdown(self, request: web.BaseRequest) -> bool:
-        """Return whether this daemon ends while the caller still waits."""
+        """Return whether this daemon shuts down while the caller still waits."""
         if self._stop_deadline_s is None or self._core.clock() < self._stop_deadline_s:
             return False
         return request.transport is not None and not request.transport.is_closing()
@@ -234,9 +234,9 @@
     async def _async_body(
         self, request: web.BaseRequest, limits: CallerLimits
     ) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        Each part must arrive within the idle time.
+        Each chunk must arrive within the idle timeout.
         """
         if not request.body_exists:
             return b""
@@ -286,7 +286,7 @@
 
 
 def _has_not_run(exchange: Exchange | None, outcome: str) -> bool:
-    """Return whether it is known that no endpoint has begun a request."""
+    """Return whether it is certain that no endpoint has started the request."""
     if exchange is None or not exchange.tried:
         return True
     return outcome == Outcome.NOT_RUN.value
--- a/chutelink/entry/listeners.py
+++ b/chutelink/entry/listeners.py
@@ -1,17 +1,17 @@
-"""The listening socket for callers, opened before the rest of a start."""
+"""Listening socket for callers, opened early during startup."""
 
 from __future__ import annotations
 
 import socket
 
 ACCEPT_QUEUE = 512
-"""Connections that wait until the daemon takes them; callers wait up to 1 s."""
+"""Backlog of connections waiting to be accepted; callers wait up to 1 s."""
 
 
 def open_listener(listen: str) -> socket.socket | None:
-    """Return a socket that queues connections, or None where it can't be had.
+    """Return a listening socket, or None if it can't be opened.
 
-    The daemon opens it again later then, and fails with the reason.
+    In that case the daemon tries again later in the startup and reports the error.
     """
     host, _, port = listen.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -20,7 +20,7 @@
         listener.bind((host, int(port)))
         listener.listen(ACCEPT_QUEUE)
     except OSError:
-        # Not logged: there is no log yet, and the second try reports it.
+        # Logging isn't set up yet; the second attempt reports the error.
         listener.close()
         return None
     listener.setblocking(False)
--- a/chutelink/entry/loads.py
+++ b/chutelink/entry/loads.py
@@ -1,4 +1,4 @@
-"""What this daemon has under way and was asked for, to tell the others."""
+"""Collects this daemon's load and demand for its reports to other daemons."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .news import EndpointLoad, LeavingEndpoint, LoadReport, ModelUse, StreamCount
 
 RETURN_DELAY_MARGIN_S = 0.3
-"""How much later than told callers come back: a connection, a new request."""
+"""How much later than requested callers retry, due to connecting and sending."""
 MAX_PREFIXES = 64
-"""Most prompts told of in one message."""
+"""Maximum number of prompts in one message."""
 
 
 class LoadBook:
-    """Collects arrivals, waits and dispatched prompts between two messages."""
+    """Collects arrivals, waiting requests and sent prompts between two reports."""
 
     def __init__(self) -> None:
         self._arrivals: dict[tuple[ModelName, AdapterName], int] = defaultdict(int)
@@ -37,14 +37,14 @@
     def note_arrival(
         self, model: ModelName, adapter: AdapterName, work_s: float
     ) -> None:
-        """Count a request for a model."""
+        """Count a request for a model or adapter."""
         self._arrivals[model, adapter] += 1
         self._work_s[model, adapter] += work_s
 
     def begin_wait(
         self, model: ModelName, adapter: AdapterName, *, is_patient: bool
     ) -> None:
-        """Count a request that waits for its model or adapter, and say so soon."""
+        """Count a request that waits for its model or adapter; triggers a report."""
         self.waiting[model, adapter] += 1
         self._patient[model] += is_patient
         self.urgent.set()
@@ -52,9 +52,9 @@
     def keep_wait(
         self, model: ModelName, adapter: AdapterName, back_in_s: float
     ) -> None:
-        """Let a request go on waiting whose caller was told when to come back.
+        """Keep counting a request as waiting until its caller is due to retry.
 
-        Else what it waits for would give way before it is back.
+        Otherwise the model or adapter could be displaced before the retry arrives.
         """
         asyncio.get_running_loop().call_later(
             back_in_s + RETURN_DELAY_MARGIN_S,
@@ -64,7 +64,7 @@
     def end_wait(
         self, model: ModelName, adapter: AdapterName, *, is_patient: bool
     ) -> None:
-        """Count a request that waits no longer."""
+        """Stop counting a request as waiting."""
         self.waiting[model, adapter] -= 1
         self._patient[model] -= is_patient
 
@@ -73,23 +73,23 @@
         self._served[model, adapter] += 1
 
     def note_prompt(self, endpoint: EndpointId, chain: tuple[int, ...]) -> None:
-        """Keep which endpoint reads a prompt."""
+        """Record which endpoint processes a prompt."""
         if len(self._prefixes) < MAX_PREFIXES:
             self._prefixes.append((endpoint, list(chain)))
 
     def note_stream(self, endpoint: EndpointId, *, is_paused: bool) -> None:
-        """Count a stream that ended."""
+        """Count a completed stream, and whether it had a long pause."""
         self._streams[endpoint] += 1
         self._paused[endpoint] += is_paused
 
     def note_limit(self, limit: EndpointLimit, *, is_changed: bool) -> None:
-        """Keep what an answer said of its endpoint's limit; a change is told soon."""
+        """Record an endpoint's limit from a response; a change triggers a report."""
         self._limits[limit.endpoint] = limit
         if is_changed:
             self.urgent.set()
 
     def note_leaving(self, leaving: LeavingEndpoint) -> None:
-        """Keep that an answer said that its endpoint leaves, and tell it soon."""
+        """Record that an endpoint announced its shutdown; triggers a report."""
         self._leaving.append(leaving)
         self.urgent.set()
 
@@ -114,7 +114,7 @@
     def take(
         self, daemon: DaemonId, table: EndpointTable, unreachable: list[EndpointId]
     ) -> LoadReport | None:
-        """Return the next message, or None when there is nothing new."""
+        """Return the next report, or None if there is nothing new."""
         loads = [
             EndpointLoad(row.record.id, row.requests, row.reading_s, dict(+row.by_ref))
             for row in table.rows.values()
--- a/chutelink/entry/main.py
+++ b/chutelink/entry/main.py
@@ -18,10 +18,10 @@
         EntrySettings,
     )
     listener = open_listener(start.settings.entry.caller_listen)
-    # Imports leave no garbage, and looking for it takes a good part of their time.
+    # Imports create no garbage, and collections would take much of the import time.
     gc.disable()
-    # Imported after callers can connect: it is most of the time of a start, and
-    # until then a daemon that was restarted refuses every connection.
+    # Imported after the listener is open: this is most of the startup time, and
+    # until callers can connect, a restarted daemon refuses every connection.
     from ..core import run_daemon
     from ..platform.adapter import PreparedMachines
     from .app import EntryApp
--- a/chutelink/entry/membership.py
+++ b/chutelink/entry/membership.py
@@ -1,4 +1,4 @@
-"""Find the other daemons through a table of the store."""
+"""Registration and discovery of daemons through a table of the store."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 NS_PER_MS = 1_000_000
 RETRY_S = 0.5
 ISOLATED_RETRY_S = 2.0
-"""A daemon without links looks again so often; links settle within a second."""
+"""Interval at which a daemon without links looks for peers; links form within 1 s."""
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """Where a daemon's peers reach it.
+    """Registration of a daemon with its address for peers.
 
-    ``capacity`` is the processor share of its VM, ``started_s`` when its process
-    registered, on the store's clock; 0 where that was not asked for. ``era`` is the
-    store's era that it knew of when it wrote this.
+    ``capacity`` is the processor share of its VM; ``started_s`` the time of the store's
+    clock at which its process registered, 0 if it did not read that; ``era`` the era of
+    the store known to it when it wrote the row.
     """
 
     peer_address: str
@@ -45,11 +45,11 @@
 
 
 class PreviousFleet(msgspec.Struct, frozen=True):
-    """What the store lists when a daemon starts.
+    """Registrations found in the store when a daemon starts.
 
-    ``own_began_ago_s`` is how long ago the process before this one registered, None
-    if there was none, 0 if the store may have lost its row; ``capacities`` are those of
-    all VMs that ever registered.
+    ``own_began_ago_s`` is how long ago the previous process of this daemon registered,
+    None if there was none, 0 if the store may have lost its row; ``capacities`` are
+    those of all VMs that ever registered.
     """
 
     own_began_ago_s: float | None
@@ -57,10 +57,10 @@
 
 
 def make_member(core: Application, entry: EntrySection) -> Member:
-    """Return what this daemon tells its peers of itself."""
+    """Return the member record that this daemon announces to its peers."""
     daemon = core.daemon
-    # Compared only with what peers remember of this same daemon; if a
-    # clock went back, the mesh raises it above that.
+    # Compared only with the values that peers remember for this daemon. If the
+    # clock went back, the mesh raises the incarnation above them.
     incarnation = time.time_ns() // NS_PER_MS
     return Member(
         core.daemon_id,
@@ -77,32 +77,32 @@
 
 
 def port_of(listen: str) -> int:
-    """Return the port of HOST:PORT."""
+    """Return the port of an address ``HOST:PORT``."""
     return int(listen.rpartition(":")[2])
 
 
 class Registration:
-    """Writes this daemon's row and reads those of the others.
+    """Writes this daemon's row and reads the rows of the others.
 
-    The own row is written first: of two daemons that start together, the one
-    that writes last finds the other.
+    The daemon's own row is written first: if two daemons start at the same time, the
+    one that writes last finds the other.
 
     Parameters
     ----------
     core : Application
         The owner.
     table : WatchedTable
-        Where the rows are.
+        Store table that holds the rows.
     mesh : Mesh
-        Takes the addresses.
+        Receives the addresses of the peers.
     peer_address : str
         This daemon's own address for peers.
     capacity : float
         The processor share of its VM.
     looks_back : bool
-        Whether to find out first what the store lists from before.
+        Whether to read the previous registrations before the first write.
     era : callable
-        The latest era of the store that is known: the row is written in each.
+        Returns the latest known era of the store; the row is rewritten in each era.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self.on_previous_fleet: Callable[[PreviousFleet], None] = lambda previous: None
 
     async def async_run(self) -> None:
-        """Register, find the others, and look again while alone."""
+        """Register and find peers, and repeat the search while there are no links."""
         while not self._core.should_stop:
             try:
                 await self._async_register()
@@ -144,7 +144,7 @@
                 await self._core.sleep(RETRY_S * self._core.rng.uniform(1.0, 2.0))
 
     async def _async_register(self) -> None:
-        """Write the own row; writing it twice changes nothing."""
+        """Write this daemon's row; the write is idempotent."""
         if self._written_era is not None and self._written_era >= self._era():
             return
         key = f"{TABLE_MEMBERS}/{self._core.daemon_id}"
@@ -162,7 +162,7 @@
         self._written_era = commit.era
 
     async def _async_read_previous_fleet(self, own_key: str) -> None:
-        """Tell, once, what the store lists of before."""
+        """Read the previous registrations and report them, once per process."""
         page = await self._table.async_read(f"{TABLE_MEMBERS}/")
         self._reads_previous_fleet = False
         self._started_s, self._read_era = page.answered_s, page.era
@@ -178,7 +178,7 @@
         self.on_previous_fleet(PreviousFleet(began_ago_s, capacities))
 
     def _decode(self, row: Row) -> MemberRow | None:
-        """Return what a row says, None for one of another writer: the others hold."""
+        """Return the decoded row, or None if it is invalid; other rows still count."""
         try:
             return decode_value(row, MemberRow)
         except PlatformUnavailable as error:
--- a/chutelink/entry/message_router.py
+++ b/chutelink/entry/message_router.py
@@ -1,4 +1,4 @@
-"""What an entry daemon is told by the others, and what it tells them."""
+"""Routes messages between an entry daemon's components and the other daemons."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 from .state import EntryState
 
 MAX_PROMPT_UPDATE_PEERS = 16
-"""Most daemons that are told of each prompt as it is sent.
+"""Maximum number of linked daemons for which each prompt is announced when sent.
 
-In larger fleets each daemon has but a few of an endpoint's prompts, and the periodic
-news of loads must do.
+In larger fleets, each daemon sends only few of an endpoint's prompts, and the periodic
+load reports suffice.
 """
 SNAPSHOT_PEERS = 6
-"""Daemons that one without the store asks for a table at a time."""
+"""Number of daemons asked for a table at a time while the store is unreachable."""
 
 
 class MessageRouter:
-    """Hands messages to the parts that they are for, and sends theirs out.
+    """Dispatches received messages to the components, and sends their messages.
 
     Parameters
     ----------
@@ -57,19 +57,19 @@
     mesh : Mesh
         Links to the other daemons.
     directory : Directory
-        Which daemons serve.
+        Selects the daemons that serve.
     known : EntryState
-        What is believed of endpoints.
+        State of the endpoints.
     demand : DemandTable
-        What is asked for.
+        Demand for models.
     pending : PendingTable
-        Loads on their way.
+        Loads in progress.
     retries : RetryShare
-        Split over the daemons that serve.
+        Retry budget, divided among the serving daemons.
     quarantine : Quarantine
-        Requests that end endpoints.
+        Requests that terminate endpoints.
     quotas : QuotaKeeper
-        Lends parts of its shares.
+        Quota shares and loans.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self._quarantine = quarantine
         self._quotas = quotas
         self.serving: set[DaemonId] = set()
-        """The daemons that callers may use, as of the last change of members."""
+        """Daemons that callers may use, as of the last membership change."""
         self._placer_id: DaemonId | None = None
         self._term = 0
         self.watch: StoreWatch | None = None
@@ -103,7 +103,7 @@
         self.permits: PermitDesk | None = None
 
     def send(self, news: EntryMessage) -> None:
-        """Tell those that need it; what this daemon needs too, it takes in itself."""
+        """Send a message to the daemons that need it, and apply it here if needed."""
         if isinstance(news, PlacementNews):
             self._handle_placement(news)
         elif isinstance(news, LoadReport):
@@ -124,20 +124,20 @@
             self._mesh.broadcast(body, topic)
 
     def _choose_snapshot_peers(self) -> set[DaemonId]:
-        """Return a few linked daemons to ask: each sends a whole table."""
+        """Return a few linked daemons to ask, as each sends a complete table."""
         linked = sorted(self._mesh.linked_members())
         return set(self._core.rng.sample(linked, min(SNAPSHOT_PEERS, len(linked))))
 
     def reply(self, daemon: DaemonId, news: EntryMessage) -> None:
-        """Tell one daemon something."""
+        """Send a message to one daemon."""
         self._mesh.send_to({daemon}, encode_news(news), topic_of(news))
 
     def handle_broadcast(self, broadcast: Broadcast) -> None:
-        """Take in what another daemon told all."""
+        """Handle a broadcast of another daemon."""
         self.handle_direct(broadcast.origin, broadcast.body)
 
     def handle_direct(self, origin: DaemonId, body: bytes) -> None:
-        """Take in a message of another daemon."""
+        """Handle a message of another daemon."""
         try:
             news = decode_news(body, origin)
         except PeerMessageInvalid as error:
@@ -215,10 +215,10 @@
         self._pending.take(news.loads, news.term, self._core.clock(), news.queued)
 
     def _note_placer(self, daemon: DaemonId, term: int) -> bool:
-        """Take in that a placer has spoken; return whether it is the latest one.
+        """Record a message from a placer; return whether it is the current one.
 
-        News of a former one may arrive late. One of a lower term counts when the
-        latest has been silent for longer than any lease lasts.
+        Messages of a previous placer may arrive late. A placer with a lower term is
+        accepted once the current one has been silent for longer than a lease lasts.
         """
         silent_s = self._core.clock() - self._known.endpoints.last_placer_message_s
         if term < self._term and silent_s < PLACER_TIMEOUT_S:
@@ -233,7 +233,7 @@
         return True
 
     def choose_links(self) -> None:
-        """Link to the placer, and to those that serve if this daemon needs them."""
+        """Link to the placer, and to the serving daemons if this daemon needs them."""
         serving = self._directory.serving()
         self.serving = set(serving)
         self._retries.daemons = max(1, len(serving))
--- a/chutelink/entry/news.py
+++ b/chutelink/entry/news.py
@@ -1,4 +1,4 @@
-"""What entry daemons tell each other over the mesh, as typed messages."""
+"""Typed messages that entry daemons exchange over the mesh."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class StoredRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row of the store as it was read; the value None marks a removal."""
+    """A row read from the store; the value None marks a removed row."""
 
     key: str
     version: int
@@ -32,11 +32,11 @@
 
 
 class StoreNews(msgspec.Struct, frozen=True, array_like=True, tag="store"):
-    """The changes of one table after a version, as the sender read them.
+    """Changes of a table since a version, as read by the sender.
 
-    ``after`` is 0 for the whole table: rows that it does not have are gone.
-    ``answered_s`` is what the store's clock showed when it answered; both versions
-    are of one ``era`` of the store.
+    ``after`` is 0 for the complete table: rows that are not included have been removed.
+    ``answered_s`` is the store's clock time of the response; both versions belong to
+    the same ``era`` of the store.
     """
 
     table: str
@@ -48,31 +48,32 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether all rows are here."""
+        """Whether the message contains the complete table."""
         return not self.after
 
 
 class SnapshotRequest(
     msgspec.Struct, frozen=True, array_like=True, tag="snapshot_request"
 ):
-    """Asks for a whole table; sent by a daemon that can't reach the store."""
+    """Requests a complete table; sent by a daemon that can't reach the store."""
 
     table: str
     daemon: DaemonId
 
 
 class PlacerBeacon(msgspec.Struct, frozen=True, array_like=True, tag="placer"):
-    """The placer's sign of life, for those that need to know no more."""
+    """Heartbeat of the placer, for daemons that don't need placement details."""
 
     daemon: DaemonId
     term: int
 
 
 class ModelUse(msgspec.Struct, frozen=True, array_like=True):
-    """Requests for a model or adapter that arrived at one daemon.
+    """Requests for a model or adapter at one daemon.
 
-    ``waiting`` ask for what is not loaded; ``patient`` of them have time enough
-    for a load from the weight store. ``served`` have been answered since.
+    ``waiting`` counts requests whose model or adapter is not loaded, ``patient`` those
+    of them with enough time left for a load from the weight store, and ``served`` the
+    requests answered since the last message.
     """
 
     model: ModelName
@@ -85,9 +86,9 @@
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What one daemon has under way at an endpoint, in all and by what is asked.
+    """Requests of one daemon in flight at an endpoint, in total and by model.
 
-    ``reading_s`` is how long an ordinary endpoint reads the prompts that wait.
+    ``reading_s`` is the time an average endpoint takes to process the pending prompts.
     """
 
     endpoint: EndpointId
@@ -97,7 +98,7 @@
 
 
 class StreamCount(msgspec.Struct, frozen=True, array_like=True):
-    """Streams that ended at an endpoint, and those with a pause that is too long."""
+    """Streams completed at an endpoint, and how many of them had too long a pause."""
 
     endpoint: EndpointId
     streams: int
@@ -105,18 +106,18 @@
 
 
 class LeavingEndpoint(msgspec.Struct, frozen=True, array_like=True):
-    """A process of an endpoint whose answer said that it leaves."""
+    """An endpoint process that announced its shutdown in a response."""
 
     endpoint: EndpointId
     born_ms: int
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="load"):
-    """What one daemon has under way and was asked for since its last message.
+    """Load of one daemon, and its demand since the last message.
 
-    ``unreachable`` are endpoints that took no connection from it, ``limits`` what
-    answers said since then of the limits of endpoints, ``leaving`` the endpoints whose
-    answers said since then that they leave.
+    ``unreachable`` lists endpoints that did not accept connections from it, ``limits``
+    the endpoint limits received since the last message, and ``leaving`` the endpoints
+    that announced their shutdown since then.
     """
 
     daemon: DaemonId
@@ -132,7 +133,7 @@
 class PromptNews(msgspec.Struct, frozen=True, array_like=True, tag="prompt"):
     """A prompt that one daemon has just sent.
 
-    ``read_s`` is how long an ordinary endpoint reads it.
+    ``read_s`` is the time an average endpoint takes to process it.
     """
 
     daemon: DaemonId
@@ -142,7 +143,7 @@
 
 
 class EndpointPlacement(msgspec.Struct, frozen=True, array_like=True):
-    """What an endpoint holds after a number of orders to one of its processes."""
+    """Resident models of an endpoint process as of an order sequence."""
 
     endpoint: EndpointId
     sequence: int
@@ -151,9 +152,9 @@
 
 
 class PendingLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A load that was ordered or is decided, and when it should be done.
+    """A load that is ordered or planned, and its expected completion.
 
-    ``is_cold`` says that it comes from the weight store.
+    ``is_cold`` marks a load from the weight store.
     """
 
     endpoint: EndpointId
@@ -164,16 +165,16 @@
 
 
 class QueuedLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A model that requests wait for, and when it should be there at the earliest."""
+    """A model that requests wait for, and the earliest time it can be loaded."""
 
     model: ModelName
     ready_in_s: float
 
 
 class PlacementNews(msgspec.Struct, frozen=True, array_like=True, tag="placement"):
-    """What the placer knows of endpoints, and what it is changing.
+    """Placements known to the placer, and the loads in progress.
 
-    ``endpoints`` has those that changed since its last message, ``queued`` the models
+    ``endpoints`` lists those that changed since the last message, ``queued`` the models
     that wait for an endpoint to load them.
     """
 
@@ -185,10 +186,11 @@
 
 
 class LeaseYield(msgspec.Struct, frozen=True, array_like=True, tag="yield"):
-    """The holder orders nothing more, until it has renewed the lease if it can't now.
+    """Notice that the lease holder issues no more orders.
 
-    ``held_s`` is how long it has held the lease; ``number`` counts its yields of this
-    term, so that one that arrives after the holder has gone on can be told.
+    A holder that is currently unable to renew the lease resumes once it has renewed it.
+    ``held_s`` is how long it has held the lease; ``number`` counts its yields in this
+    term, so that a yield that arrives after the holder resumed can be recognized.
     """
 
     daemon: DaemonId
@@ -222,22 +224,22 @@
 
 
 def topic_of(news: EntryMessage) -> str:
-    """Return the kind of a message, as metrics and logs name it."""
+    """Return the kind of a message as used in metrics and logs."""
     return news.__struct_config__.tag
 
 
 def encode_news(news: EntryMessage) -> bytes:
-    """Return a message as CBOR, compressed where that pays."""
+    """Encode a message as CBOR, compressed if it is large enough."""
     return pack(cbor2.dumps(msgspec.to_builtins(news)))
 
 
 def decode_news(body: bytes, peer: str) -> EntryMessage:
-    """Return the message.
+    """Decode a message.
 
     Raises
     ------
     PeerMessageInvalid
-        The bytes are not a message that is known.
+        The bytes are not a known message.
     """
     try:
         return msgspec.convert(cbor2.loads(unpack(body)), EntryMessage)
--- a/chutelink/entry/pending.py
+++ b/chutelink/entry/pending.py
@@ -1,4 +1,4 @@
-"""Loads on their way, as the placer last announced them."""
+"""Loads in progress, as last announced by the placer."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 from .news import PendingLoad, QueuedLoad
 
 ANNOUNCEMENT_VALID_S = 1.5
-"""Announcements come every 0.4 s; without them nothing is known of loads."""
+"""Validity of an announcement; the placer sends one every 0.4 s."""
 
 OVERDUE_TOLERANCE_S = 0.5
-"""How much later than announced a load is still expected.
+"""How long after its announced time a load is still expected.
 
-A placer announces a late load anew; what is not announced any more is not waited for.
+A placer announces a delayed load again. Loads that are no longer announced are not
+waited for.
 """
 
 COLD_LOAD_HISTORY_S = 30.0
-"""How long the begin of a cold load is kept; operators count over some seconds."""
+"""How long the start of a cold load is kept; rates are counted over some seconds."""
 
 
 class PendingTable:
-    """When models and adapters should be there, and a signal of every change."""
+    """Expected load times of models and adapters, with a signal on each change."""
 
     def __init__(self) -> None:
         self._ready_s: dict[tuple[ModelName, AdapterName], float] = {}
@@ -42,9 +43,9 @@
         now_s: float,
         queued: Sequence[QueuedLoad] = (),
     ) -> None:
-        """Replace what is known.
+        """Replace the announced loads.
 
-        Loads that a former placer began go on and are kept until they are due.
+        Loads started by a previous placer continue, and are kept until they are due.
         """
         self._heard_s = now_s
         if term != self._term:
@@ -78,29 +79,29 @@
                 self._cold_s.setdefault((load.endpoint, load.model), now_s)
 
     def endpoint_ready_s(self, endpoint: EndpointId) -> float:
-        """Return when the last announced load of a model there should be done."""
+        """Return when the last announced model load on an endpoint should complete."""
         return self._endpoint_ready_s.get(endpoint, float("-inf"))
 
     def cold_begun_s(self) -> list[float]:
-        """Return when loads from the weight store began, the oldest first."""
+        """Return the start times of loads from the weight store, oldest first."""
         return sorted(self._cold_s.values())
 
     def signal(self) -> None:
-        """Let everything that waits look again."""
+        """Wake all waiting tasks."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def has_placer(self, now_s: float) -> bool:
-        """Return whether a placer has spoken lately."""
+        """Return whether a placer has sent an announcement recently."""
         return now_s - self._heard_s < ANNOUNCEMENT_VALID_S
 
     def ready_s(
         self, model: ModelName, adapter: AdapterName, now_s: float
     ) -> float | None:
-        """Return when a model, or an adapter of it, should be there.
+        """Return when a model or adapter should be loaded, or None if unknown.
 
-        Of one that is queued, at the earliest.
-        Nothing is known of a load that is overdue: announcements may have stopped.
+        For a queued model, this is the earliest time. The time of an overdue load is
+        unknown, since announcements may have stopped.
         """
         for known in (self._ready_s, self._previous_term_s):
             for key in ((model, adapter), (model, NO_ADAPTER)):
@@ -112,7 +113,7 @@
         return queued_s if is_known else None
 
     async def async_wait(self, limit_s: float) -> None:
-        """Return at the next change, or when the time is over."""
+        """Wait for the next change, at most for ``limit_s``."""
         event = self._changed
         try:
             async with asyncio.timeout(limit_s):
--- a/chutelink/entry/shutdown.py
+++ b/chutelink/entry/shutdown.py
@@ -1,7 +1,7 @@
-"""Which requests a daemon that stops still takes. Pure.
+"""Decides which requests a daemon still accepts while it shuts down.
 
-What could not end before the grace is over would be cut. It is refused when it is
-read, and its caller goes elsewhere at once.
+A request that can't finish within the grace period would be cut off. It is refused as
+soon as it is read, so that its caller can retry with another daemon at once.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 from .config import Route
 
 STREAM_DURATION_FACTOR = 2.0
-"""Mean streams after which nearly all have ended: their lengths vary by half."""
+"""Multiple of the mean stream duration; durations vary by about half of the mean."""
 OTHER_DAEMON_RETRY_S = 0.02
-"""When to come back: at once, on a connection to another daemon."""
+"""Retry delay for callers that can reconnect to another daemon immediately."""
 
 
 def can_finish(route: Route, left_s: float, stream_s: float) -> bool:
-    """Return whether a request most likely ends in the time that is left.
+    """Return whether a request will most likely finish in the remaining time.
 
     Parameters
     ----------
     route : Route
-        Its route.
+        Route of the request.
     left_s : float
-        Time until this daemon cuts what is under way.
+        Time until this daemon cuts off requests in flight.
     stream_s : float
-        How long a stream takes in the mean.
+        Mean duration of a stream.
     """
     if not route.is_stream:
         return left_s > (route.timeout_s or route.objective_s)
--- a/chutelink/entry/state.py
+++ b/chutelink/entry/state.py
@@ -1,4 +1,4 @@
-"""What an entry daemon believes: routes, endpoints, loads; kept from the tables."""
+"""State of an entry daemon derived from the store: routes, endpoints and statistics."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 PREFIX_ENDPOINTS = f"{TABLE_ENDPOINTS}/"
 DEFAULT_LAPSE_S = 4.0
-"""Three heartbeats of a second, and one for when the last of them was written."""
+"""Three heartbeats of one second, plus one for the delay of the last write."""
 
 
 class EntryState:
-    """Takes rows of the store in, each decoded at this edge.
+    """Decodes rows of the store and applies them to the routes and endpoints.
 
     Parameters
     ----------
@@ -35,9 +35,9 @@
     adapter : PlatformAdapter
         Decodes rows.
     quarantine : Quarantine
-        Is told of processes of endpoints that have ended.
+        Notified when endpoint processes restart or vanish.
     lapse_s : float, default=DEFAULT_LAPSE_S
-        How long a registration stays in the store without signs of life.
+        How long a registration stays in the store without heartbeats.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self.on_endpoints: Callable[[], None] = lambda: None
 
     def take_row(self, change: RowChange) -> None:
-        """Take in a row that has changed."""
+        """Apply a changed or removed row."""
         if change.key == KEY_ROUTING_CONFIG:
             if change.value is not None:
                 self._apply_config(change.value)
@@ -135,14 +135,14 @@
         self.on_endpoints()
 
     def _reject_endpoint(self, endpoint: EndpointId, error: EndpointFailed) -> None:
-        """Send nothing to what a row named before that now names no endpoint."""
+        """Remove the endpoint of an invalid row, so that it gets no more requests."""
         self._core.events.warning("endpoint_refused", endpoint=endpoint, error=error)
         row = self.endpoints.remove(endpoint)
         if row is not None:
             self._forget(row, "refused")
 
     def _handle_restart(self, before: EndpointRecord, record: EndpointRecord) -> None:
-        """Forget what was learned of the process before; its speed is the VM's."""
+        """Discard statistics of the previous process; its speed depends on the VM."""
         self._core.events.record(
             "endpoint_restarted",
             endpoint=record.id,
@@ -155,7 +155,7 @@
         self._quarantine.note_restarted(before.incarnation)
 
     def _since_last_sent_s(self, endpoint: EndpointId) -> float:
-        """Return how long ago this daemon sent a request there, infinite if never."""
+        """Return the time since this daemon's last request there, infinite if none."""
         return self._core.clock() - self.endpoints.rows[endpoint].last_sent_s
 
     def _handle_removed_row(self, endpoint: EndpointId, change: RowChange) -> None:
@@ -186,7 +186,7 @@
         self._forget(row, "removed")
 
     def expire(self) -> None:
-        """Drop endpoints that did not come back after an outage."""
+        """Remove endpoints that did not register again after an outage."""
         for row in self.endpoints.expire(self._core.clock()):
             self._forget(row, "lapsed")
 
--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -1,4 +1,4 @@
-"""Connections of callers while a daemon starts."""
+"""Tests of callers' connections while a daemon starts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         return probe.getsockname()[1]
 
 
-def test_a_connection_waits_for_the_daemon_behind_the_listener():
+def test_early_connection_waits_until_the_daemon_accepts_it():
     async def async_main() -> bytes:
         port = free_port()
         listener = open_listener(f"{HOST}:{port}")
@@ -38,14 +38,14 @@
     assert asyncio.run(async_main()) == b"early\n"
 
 
-def test_an_address_in_use_is_left_to_the_second_try():
+def test_address_in_use_returns_no_listener():
     with socket.socket() as other:
         other.bind((HOST, 0))
         other.listen()
         assert open_listener(f"{HOST}:{other.getsockname()[1]}") is None
 
 
-def test_little_is_imported_before_callers_can_connect():
+def test_slow_imports_happen_after_callers_can_connect():
     code = (
         "import sys, chutelink.entry.main\n"
         "print([n for n in ('aiohttp', 'mode', 'websockets') if n in sys.modules])"
@@ -56,7 +56,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_requests_wait_a_moment_while_nothing_is_known_yet():
+def test_early_requests_wait_for_the_configuration():
     async def async_main() -> tuple[int, int]:
         async with async_world() as world:
             await world.async_add("e1", "plain")
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -1,4 +1,4 @@
-"""What a daemon that starts finds out about those before it."""
+"""Tests of the registration of daemons in the store."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     return found[0]
 
 
-def test_a_daemon_learns_when_the_process_before_it_began():
-    """One that was restarted within a quota's window must not begin with a share."""
+def test_daemon_reads_when_its_previous_process_registered():
+    """A daemon restarted within a quota window must not start with a full share."""
     table = FakeTable()
     assert register(table, "d1", 2.0) == PreviousFleet(None, [2.0])
     assert register(table, "d2", 2.0) == PreviousFleet(None, [2.0, 2.0])
@@ -42,13 +42,13 @@
     ("capacities", "count"),
     [([], 0), ([1.0], 1), ([1.0] * 7, 7), ([2.0] * 8 + [0.5] * 52, 8)],
 )
-def test_large_vms_serve_and_small_ones_where_those_are_too_few(capacities, count):
+def test_candidates_are_large_vms_filled_up_with_small_ones(capacities, count):
     assert count_candidates(capacities) == count
     assert count_candidates([2.0, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5]) == 6
 
 
-def test_a_daemon_writes_its_row_again_when_an_older_store_has_lost_it():
-    """Daemons that start later would not find it."""
+def test_daemon_writes_its_row_again_when_a_restored_store_lost_it():
+    """Otherwise, daemons that start later would not find it."""
     table = FakeTable()
     table.era = FIRST_ERA
     copy = table.copy()
@@ -68,8 +68,8 @@
     assert table.table.version == version
 
 
-def test_a_row_that_an_older_store_may_have_lost_is_no_proof_of_a_first_start():
-    """One that began within a quota's window must not begin with a share."""
+def test_missing_row_in_a_restored_store_is_not_taken_for_a_first_start():
+    """A daemon restarted within a quota window must not start with a full share."""
     table = FakeTable()
     table.era = FIRST_ERA
     register(table, "d1", 2.0)
--- a/tests/entry/test_message_router.py
+++ b/tests/entry/test_message_router.py
@@ -1,4 +1,4 @@
-"""What daemons hear of placers, in whatever order it arrives."""
+"""Tests of placer messages that arrive in any order."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
             Quarantine(self.core),
             make_quotas(self.core),
         )
-        self.heard = []
+        self.holders = []
         self.router.lease = SimpleNamespace(
-            note_holder=lambda daemon, term: self.heard.append((daemon, term))
+            note_holder=lambda daemon, term: self.holders.append((daemon, term))
         )
 
     def deliver(self, news):
@@ -58,19 +58,19 @@
     return RouterHarness()
 
 
-def test_a_former_placers_late_news_replace_nothing(harness):
-    """It froze after its last message was written, and it arrives when it wakes."""
+def test_late_messages_of_a_previous_placer_are_ignored(harness):
+    """It froze after writing its last message, which arrives when it resumes."""
     harness.deliver(PlacementNews("d2", 2, [], [LOAD]))
     harness.core.now_s += 0.5
     harness.deliver(PlacementNews("d1", 1, [], []))
     harness.deliver(PlacerBeacon("d1", 1))
     assert harness.pending.ready_s("m1", "", harness.core.now_s) is not None
     assert harness.mesh.direct == {"d2"}
-    assert harness.heard == [("d2", 2)]
+    assert harness.holders == [("d2", 2)]
 
 
-def test_a_placer_of_a_lower_term_counts_when_the_other_is_long_silent(harness):
-    """The row was lost, and terms have begun anew."""
+def test_placer_of_a_lower_term_is_accepted_after_the_placer_timeout(harness):
+    """The lease row was lost, so terms started again."""
     harness.deliver(PlacerBeacon("d2", 7))
     harness.core.now_s += PLACER_TIMEOUT_S + 0.1
     harness.deliver(PlacerBeacon("d1", 1))
--- a/tests/entry/test_pending.py
+++ b/tests/entry/test_pending.py
@@ -1,4 +1,4 @@
-"""Loads on their way, as placers announce them one after the other."""
+"""Tests of the loads announced by successive placers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from chutelink.entry.pending import OVERDUE_TOLERANCE_S, PendingTable
 
 
-def test_a_load_is_known_until_it_is_not_announced_any_more():
+def test_load_is_expected_until_it_is_no_longer_announced():
     table = PendingTable()
     now_s = 100.0
     table.take([PendingLoad("i-1", "m1", "", 4.0)], 1, now_s)
@@ -16,7 +16,7 @@
     assert table.ready_s("m1", "", now_s) is None
 
 
-def test_a_former_placers_load_goes_on():
+def test_load_of_a_previous_placer_is_expected_until_overdue():
     table = PendingTable()
     now_s = 100.0
     table.take([PendingLoad("i-1", "m1", "", 4.0)], 1, now_s)
@@ -27,7 +27,7 @@
     assert table.ready_s("m1", "", now_s) is None
 
 
-def test_an_overdue_load_is_not_waited_for_when_announcements_stop():
+def test_overdue_load_is_not_expected_when_announcements_stop():
     table = PendingTable()
     table.take([PendingLoad("i-1", "m1", "", 4.0)], 1, 100.0)
     assert table.ready_s("m1", "", 104.0) == 104.0
--- a/tests/entry/test_state.py
+++ b/tests/entry/test_state.py
@@ -1,4 +1,4 @@
-"""What is believed of endpoints: rows of other writers, and restarts under one id."""
+"""Tests of the endpoint state: invalid rows, and restarts under the same id."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     "models": [{"name": "m", "version": 1, "adapters": ["a1"]}],
     "born": 1000,
 }
-FOREIGN = [
+INVALID_VALUES = [
     {"service": "s"},
     {name: value for name, value in ROW.items() if name != "zone"},
     {name: value for name, value in ROW.items() if name != "address"},
@@ -48,7 +48,7 @@
 
 
 class StateHarness:
-    """What one daemon believes."""
+    """State of one daemon, with its dependencies."""
 
     def __init__(self):
         self.core = make_core()
@@ -64,9 +64,9 @@
         return {row.record.id for row in rows}
 
 
-@pytest.mark.parametrize("value", FOREIGN)
-def test_a_row_of_another_writer_names_no_endpoint_and_the_others_hold(value):
-    """Requests were still sent to what the row had named before."""
+@pytest.mark.parametrize("value", INVALID_VALUES)
+def test_invalid_row_removes_its_endpoint_and_keeps_the_others(value):
+    """Otherwise, requests are still sent to the endpoint of the previous row."""
     harness = StateHarness()
     harness.apply_row("i-1", ROW)
     harness.apply_row("i-2", ROW)
@@ -76,7 +76,7 @@
     assert harness.usable() == {"i-1", "i-2"}
 
 
-def test_an_endpoint_that_starts_again_under_its_id_knows_nothing_of_before():
+def test_restarted_endpoint_keeps_no_state_of_its_previous_process():
     harness = StateHarness()
     harness.apply_row("i-1", ROW)
     row = harness.known.endpoints.rows["i-1"]
@@ -86,19 +86,19 @@
     row = harness.known.endpoints.rows["i-1"]
     assert not row.holds("m7")
     assert harness.known.health.is_reachable("i-1", harness.core.clock())
-    # Its count of orders begins anew, and is not taken for an old one.
+    # The order sequence starts again and must not be treated as outdated.
     row.take_models(1, {"m1": frozenset()})
     assert row.holds("m1")
 
 
-def test_a_row_of_the_process_before_changes_nothing():
+def test_row_of_a_previous_process_is_ignored():
     harness = StateHarness()
     harness.apply_row("i-1", ROW | {"born": 2000, "models": []})
     harness.apply_row("i-1", ROW)
     assert harness.known.endpoints.rows["i-1"].record.born_ms == 2000
 
 
-def test_placement_of_the_process_before_is_not_taken_for_the_new_ones():
+def test_placement_of_a_previous_process_is_ignored():
     async def async_test():
         messages = RouterHarness()
         harness = StateHarness()
@@ -115,7 +115,7 @@
     asyncio.run(async_test())
 
 
-def test_placement_of_a_process_that_has_not_registered_yet_counts():
+def test_placement_of_a_process_that_has_not_registered_yet_is_applied():
     async def async_test():
         messages = RouterHarness()
         harness = StateHarness()
@@ -129,7 +129,7 @@
     asyncio.run(async_test())
 
 
-def test_a_restart_is_told_to_the_quarantine():
+def test_restart_notifies_the_quarantine():
     harness = StateHarness()
     notified = []
     harness.known.endpoints.rows.clear()
@@ -139,7 +139,7 @@
     assert notified == ["i-1@1000"]
 
 
-def test_a_lapsed_registration_is_told_to_the_quarantine():
+def test_lapsed_registration_notifies_the_quarantine():
     harness = StateHarness()
     notified = []
     harness.quarantine.note_vanished = notified.append
@@ -150,7 +150,7 @@
     assert notified == ["i-1@1000"]
 
 
-def test_a_restart_that_placement_tells_first_counts_like_one_that_registers():
+def test_restart_announced_by_a_placement_resets_state_like_a_registration():
     harness = StateHarness()
     notified = []
     harness.quarantine.note_restarted = notified.append
