--- a/chutelink/entry/app.py
+++ b/chutelink/entry/app.py
@@ -351,9 +351,9 @@
             self.known.expire()
             self.known.endpoints.forget_silent(self.clock())
             unreachable = self.known.health.unreachable(self.clock())
-            news = self.loads.take(self.daemon_id, self.known.endpoints, unreachable)
-            if news is not None:
-                self.router.send(news)
+            report = self.loads.take(self.daemon_id, self.known.endpoints, unreachable)
+            if report is not None:
+                self.router.send(report)
 
     async def async_drain(self) -> None:
         """Drain: leave the directory, then refuse connections, then finish requests."""
--- a/chutelink/entry/demand.py
+++ b/chutelink/entry/demand.py
@@ -82,39 +82,39 @@
 
     def take(self, daemon: DaemonId, uses: list[ModelUse], now_s: float) -> None:
         """Apply the usage reported by one daemon."""
-        for news in uses:
-            key = (news.model, news.adapter)
-            use = self.uses.setdefault(key, UsageAverage(updated_s=now_s))
-            use.decay(now_s)
-            use.work_per_s += news.work_s / AVERAGING_S
-            use.arrivals_per_s += news.arrivals / AVERAGING_S
-            use.asks += news.arrivals
-            if news.arrivals:
-                use.last_arrival_s = now_s
-            use.note_outcome(
-                is_served=news.served > 0, is_waiting=news.waiting > 0, now_s=now_s
+        for usage in uses:
+            key = (usage.model, usage.adapter)
+            average = self.uses.setdefault(key, UsageAverage(updated_s=now_s))
+            average.decay(now_s)
+            average.work_per_s += usage.work_s / AVERAGING_S
+            average.arrivals_per_s += usage.arrivals / AVERAGING_S
+            average.asks += usage.arrivals
+            if usage.arrivals:
+                average.last_arrival_s = now_s
+            average.note_outcome(
+                is_served=usage.served > 0, is_waiting=usage.waiting > 0, now_s=now_s
             )
             waiting = self._waiting.setdefault(key, {})
-            waiting[daemon] = _WaitingRequests(news.waiting, news.patient, now_s)
+            waiting[daemon] = _WaitingRequests(usage.waiting, usage.patient, now_s)
 
     def totals(self, now_s: float) -> dict[ModelName, ModelDemand]:
         """Return the demand for every requested model, computed in one pass."""
         totals: dict[ModelName, ModelDemand] = {}
-        for (name, _), use in self.uses.items():
-            use.decay(now_s)
+        for (name, _), average in self.uses.items():
+            average.decay(now_s)
             total = totals.setdefault(name, ModelDemand())
-            total.work_per_s += use.work_per_s
-            total.arrivals_per_s += use.arrivals_per_s
-            total.last_arrival_s = max(total.last_arrival_s, use.last_arrival_s)
+            total.work_per_s += average.work_per_s
+            total.arrivals_per_s += average.arrivals_per_s
+            total.last_arrival_s = max(total.last_arrival_s, average.last_arrival_s)
         return totals
 
     def asks(self, model: ModelName, now_s: float) -> float:
         """Return the number of recent requests for a model, decaying in about 8 s."""
         total = 0.0
-        for (name, _), use in self.uses.items():
+        for (name, _), average in self.uses.items():
             if name == model:
-                use.decay(now_s)
-                total += use.asks
+                average.decay(now_s)
+                total += average.asks
         return total
 
     def has_patient(self, model: ModelName, now_s: float) -> bool:
@@ -134,16 +134,16 @@
         request that needed it is refused.
         """
         return {
-            key: now_s - use.denied_since_s
-            for key, use in self.uses.items()
-            if use.denied_since_s is not None
-            and now_s - use.last_arrival_s < CLAIM_VALID_S
+            key: now_s - average.denied_since_s
+            for key, average in self.uses.items()
+            if average.denied_since_s is not None
+            and now_s - average.last_arrival_s < CLAIM_VALID_S
         }
 
     def adapter_arrival_s(self, model: ModelName, adapter: AdapterName) -> float:
         """Return when an adapter was last requested."""
-        use = self.uses.get((model, adapter))
-        return float("-inf") if use is None else use.last_arrival_s
+        average = self.uses.get((model, adapter))
+        return float("-inf") if average is None else average.last_arrival_s
 
     def waiting(self, now_s: float) -> dict[tuple[ModelName, AdapterName], int]:
         """Return the number of waiting requests by model and adapter."""
--- a/chutelink/entry/endpoints.py
+++ b/chutelink/entry/endpoints.py
@@ -275,15 +275,15 @@
         self.on_leaving(row.record)
         return True
 
-    def take_limit(self, news: EndpointLimit, now_s: float) -> None:
+    def take_limit(self, limit: EndpointLimit, now_s: float) -> None:
         """Apply the limit of an endpoint that another daemon has received."""
-        row = self.rows.get(news.endpoint)
-        if row is None or news.born_ms != row.record.born_ms:
+        row = self.rows.get(limit.endpoint)
+        if row is None or limit.born_ms != row.record.born_ms:
             return
-        if news.limit_per_s is None:
+        if limit.limit_per_s is None:
             row.limit.lift()
         else:
-            row.limit.note(news.limit_per_s, now_s)
+            row.limit.note(limit.limit_per_s, now_s)
 
     def _restart(self, before: Endpoint, record: EndpointRecord) -> Endpoint:
         """Replace the state of an endpoint after its process restarted."""
--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -77,12 +77,12 @@
         self._is_ready = is_ready
         self._created_s = core.clock()
         self._log = RequestLog(core)
-        self._stop_deadline_s: float | None = None
+        self._shutdown_deadline_s: float | None = None
         self.in_flight = 0
 
     def end_by(self, ends_s: float) -> None:
         """Accept only requests that can finish by then, as this daemon shuts down."""
-        self._stop_deadline_s = ends_s
+        self._shutdown_deadline_s = ends_s
 
     def stop_waiting(self) -> None:
         """Refuse the requests that have not been sent to an endpoint yet."""
@@ -205,9 +205,9 @@
         Refusal
             Another daemon may serve the request.
         """
-        if self._stop_deadline_s is None:
+        if self._shutdown_deadline_s is None:
             return
-        left_s = self._stop_deadline_s - self._core.clock()
+        left_s = self._shutdown_deadline_s - self._core.clock()
         stream_s = self._exchanges.durations.mean_s(meta.model)
         if not can_finish(route, left_s, stream_s):
             raise unavailable("this daemon is stopping", OTHER_DAEMON_RETRY_S)
@@ -220,7 +220,10 @@
 
     def _is_cut_by_shutdown(self, request: web.BaseRequest) -> bool:
         """Return whether this daemon shuts down while the caller still waits."""
-        if self._stop_deadline_s is None or self._core.clock() < self._stop_deadline_s:
+        if (
+            self._shutdown_deadline_s is None
+            or self._core.clock() < self._shutdown_deadline_s
+        ):
             return False
         return request.transport is not None and not request.transport.is_closing()
 
--- a/chutelink/entry/loads.py
+++ b/chutelink/entry/loads.py
@@ -144,7 +144,7 @@
         )
         if not is_new and not self._limits and not self._leaving:
             return None
-        news = LoadReport(
+        report = LoadReport(
             daemon,
             loads,
             uses + ended,
@@ -161,4 +161,4 @@
         self._work_s.clear()
         for key in [key for key, count in self.waiting.items() if not count]:
             del self.waiting[key]
-        return news
+        return report
--- a/chutelink/entry/message_router.py
+++ b/chutelink/entry/message_router.py
@@ -102,23 +102,23 @@
         self.placer: Placer | None = None
         self.permits: PermitDesk | None = None
 
-    def send(self, news: EntryMessage) -> None:
+    def send(self, message: EntryMessage) -> None:
         """Send a message to the daemons that need it, and apply it here if needed."""
-        if isinstance(news, PlacementNews):
-            self._handle_placement(news)
-        elif isinstance(news, LoadReport):
-            self._demand.take(news.daemon, news.uses, self._core.clock())
-            self._apply_streams(news)
-            self._wake_placer(news)
+        if isinstance(message, PlacementNews):
+            self._handle_placement(message)
+        elif isinstance(message, LoadReport):
+            self._demand.take(message.daemon, message.uses, self._core.clock())
+            self._apply_streams(message)
+            self._wake_placer(message)
         if (
-            isinstance(news, PromptNews)
+            isinstance(message, PromptNews)
             and len(self._mesh.direct) > MAX_PROMPT_UPDATE_PEERS
         ):
             return
-        body, topic = encode_news(news), topic_of(news)
-        if isinstance(news, PlacementNews | LoadReport | PromptNews):
+        body, topic = encode_news(message), topic_of(message)
+        if isinstance(message, PlacementNews | LoadReport | PromptNews):
             self._mesh.send_to(self._mesh.direct, body, topic)
-        elif isinstance(news, SnapshotRequest):
+        elif isinstance(message, SnapshotRequest):
             self._mesh.send_to(self._choose_snapshot_peers(), body, topic)
         else:
             self._mesh.broadcast(body, topic)
@@ -128,9 +128,9 @@
         linked = sorted(self._mesh.linked_members())
         return set(self._core.rng.sample(linked, min(SNAPSHOT_PEERS, len(linked))))
 
-    def reply(self, daemon: DaemonId, news: EntryMessage) -> None:
+    def reply(self, daemon: DaemonId, message: EntryMessage) -> None:
         """Send a message to one daemon."""
-        self._mesh.send_to({daemon}, encode_news(news), topic_of(news))
+        self._mesh.send_to({daemon}, encode_news(message), topic_of(message))
 
     def handle_broadcast(self, broadcast: Broadcast) -> None:
         """Handle a broadcast of another daemon."""
@@ -139,80 +139,82 @@
     def handle_direct(self, origin: DaemonId, body: bytes) -> None:
         """Handle a message of another daemon."""
         try:
-            news = decode_news(body, origin)
+            message = decode_news(body, origin)
         except PeerMessageInvalid as error:
             self._core.events.warning("news_invalid", error=error)
             return
-        if isinstance(news, StoreNews):
-            self.watch.take_news(news, origin)
-        elif isinstance(news, SnapshotRequest):
-            self.watch.take_request(news)
-        elif isinstance(news, LoadReport):
-            self._handle_load(news)
-        elif isinstance(news, PromptNews):
-            self._handle_prompt(news)
-        elif isinstance(news, PlacementNews):
-            self._handle_placement(news)
-        elif isinstance(news, PlacerBeacon):
-            self._note_placer(news.daemon, news.term)
-        elif isinstance(news, LeaseYield):
-            self.lease.take_yield(news)
-        elif isinstance(news, EndingNews):
-            self._quarantine.take_endings(news, origin)
-        elif isinstance(news, ClearedNews):
-            self._quarantine.clear(news.fingerprint, "told")
-        elif isinstance(news, LoanRequest):
-            self._quotas.take_request(news)
-        elif isinstance(news, Loan):
-            self._quotas.take_loan(news)
-        elif isinstance(news, PermitRequest):
-            self.permits.take_request(news)
-        elif isinstance(news, PermitAnswer):
-            self.permits.take_answer(news)
-
-    def _handle_load(self, news: LoadReport) -> None:
+        if isinstance(message, StoreNews):
+            self.watch.take_news(message, origin)
+        elif isinstance(message, SnapshotRequest):
+            self.watch.take_request(message)
+        elif isinstance(message, LoadReport):
+            self._handle_load(message)
+        elif isinstance(message, PromptNews):
+            self._handle_prompt(message)
+        elif isinstance(message, PlacementNews):
+            self._handle_placement(message)
+        elif isinstance(message, PlacerBeacon):
+            self._note_placer(message.daemon, message.term)
+        elif isinstance(message, LeaseYield):
+            self.lease.take_yield(message)
+        elif isinstance(message, EndingNews):
+            self._quarantine.take_endings(message, origin)
+        elif isinstance(message, ClearedNews):
+            self._quarantine.clear(message.fingerprint, "told")
+        elif isinstance(message, LoanRequest):
+            self._quotas.take_request(message)
+        elif isinstance(message, Loan):
+            self._quotas.take_loan(message)
+        elif isinstance(message, PermitRequest):
+            self.permits.take_request(message)
+        elif isinstance(message, PermitAnswer):
+            self.permits.take_answer(message)
+
+    def _handle_load(self, message: LoadReport) -> None:
         now_s = self._core.clock()
-        self._demand.take(news.daemon, news.uses, now_s)
-        self._known.endpoints.set_other_load(news.daemon, news.endpoints, now_s)
-        self._apply_streams(news)
-        for endpoint, chain in news.prefixes:
+        self._demand.take(message.daemon, message.uses, now_s)
+        self._known.endpoints.set_other_load(message.daemon, message.endpoints, now_s)
+        self._apply_streams(message)
+        for endpoint, chain in message.prefixes:
             self._known.prefixes.note(endpoint, chain, now_s)
-        for limit in news.limits:
+        for limit in message.limits:
             self._known.endpoints.take_limit(limit, now_s)
-        for leaving in news.leaving:
+        for leaving in message.leaving:
             self._known.endpoints.note_leaving(leaving.endpoint, leaving.born_ms)
-        self._wake_placer(news)
+        self._wake_placer(message)
 
-    def _handle_prompt(self, news: PromptNews) -> None:
-        load = EndpointLoad(news.endpoint, 1, news.read_s, {news.ref: 1})
-        self._known.endpoints.take_sent(news.daemon, load)
-        read_s = news.read_s * self._known.speeds.endpoint_factor(news.endpoint)
-        self._known.reading.note(news.endpoint, read_s, self._core.clock())
+    def _handle_prompt(self, message: PromptNews) -> None:
+        load = EndpointLoad(message.endpoint, 1, message.read_s, {message.ref: 1})
+        self._known.endpoints.take_sent(message.daemon, load)
+        read_s = message.read_s * self._known.speeds.endpoint_factor(message.endpoint)
+        self._known.reading.note(message.endpoint, read_s, self._core.clock())
 
-    def _apply_streams(self, news: LoadReport) -> None:
+    def _apply_streams(self, message: LoadReport) -> None:
         now_s = self._core.clock()
-        for count in news.streams:
+        for count in message.streams:
             self._known.health.note_streams(
                 count.endpoint, count.streams, count.paused, now_s
             )
 
-    def _wake_placer(self, news: LoadReport) -> None:
-        self.placer.doubt(news.unreachable)
-        if any(use.waiting for use in news.uses):
+    def _wake_placer(self, message: LoadReport) -> None:
+        self.placer.doubt(message.unreachable)
+        if any(use.waiting for use in message.uses):
             self.placer.wake()
 
-    def _handle_placement(self, news: PlacementNews) -> None:
-        if not self._note_placer(news.daemon, news.term):
+    def _handle_placement(self, message: PlacementNews) -> None:
+        if not self._note_placer(message.daemon, message.term):
             return
-        if news.daemon != self._core.daemon_id:
-            for placement in news.endpoints:
+        if message.daemon != self._core.daemon_id:
+            for placement in message.endpoints:
                 models = {
                     model: frozenset(names) for model, names in placement.models.items()
                 }
                 self._known.endpoints.take_models(
                     placement.endpoint, placement.born_ms, placement.sequence, models
                 )
-        self._pending.take(news.loads, news.term, self._core.clock(), news.queued)
+        self._pending.take(
+            message.loads, message.term, self._core.clock(), message.queued
+        )
 
     def _note_placer(self, daemon: DaemonId, term: int) -> bool:
         """Record a message from a placer; return whether it is the current one.
--- a/chutelink/entry/news.py
+++ b/chutelink/entry/news.py
@@ -223,14 +223,14 @@
 )
 
 
-def topic_of(news: EntryMessage) -> str:
+def topic_of(message: EntryMessage) -> str:
     """Return the kind of a message as used in metrics and logs."""
-    return news.__struct_config__.tag
+    return message.__struct_config__.tag
 
 
-def encode_news(news: EntryMessage) -> bytes:
+def encode_news(message: EntryMessage) -> bytes:
     """Encode a message as CBOR, compressed if it is large enough."""
-    return pack(cbor2.dumps(msgspec.to_builtins(news)))
+    return pack(cbor2.dumps(msgspec.to_builtins(message)))
 
 
 def decode_news(body: bytes, peer: str) -> EntryMessage:
--- a/tests/entry/test_message_router.py
+++ b/tests/entry/test_message_router.py
@@ -48,9 +48,9 @@
             note_holder=lambda daemon, term: self.holders.append((daemon, term))
         )
 
-    def deliver(self, news):
-        body = encode_news(news)
-        self.router.handle_broadcast(Broadcast(news.daemon, "boot", 1, body))
+    def deliver(self, message):
+        body = encode_news(message)
+        self.router.handle_broadcast(Broadcast(message.daemon, "boot", 1, body))
 
 
 @pytest.fixture
