--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -213,7 +213,7 @@
             raise unavailable("this daemon is stopping", OTHER_DAEMON_RETRY_S)
 
     async def _async_until_ready(self) -> None:
-        """Wait shortly after a start until the store has been read."""
+        """Wait until the store has been read if this daemon has just started."""
         end_s = self._created_s + START_WAIT_S
         while not self._is_ready() and self._core.clock() < end_s:
             await asyncio.sleep(START_POLL_S)
--- a/chutelink/entry/pending.py
+++ b/chutelink/entry/pending.py
@@ -10,7 +10,10 @@
 from .news import PendingLoad, QueuedLoad
 
 ANNOUNCEMENT_VALID_S = 1.5
-"""Validity of an announcement; the placer sends one every 0.4 s."""
+"""Validity of an announcement, after which pending loads are unknown.
+
+The placer sends an announcement every 0.4 s.
+"""
 
 OVERDUE_TOLERANCE_S = 0.5
 """How long after its announced time a load is still expected.
--- a/chutelink/entry/shutdown.py
+++ b/chutelink/entry/shutdown.py
@@ -9,7 +9,10 @@
 from .config import Route
 
 STREAM_DURATION_FACTOR = 2.0
-"""Multiple of the mean stream duration; durations vary by about half of the mean."""
+"""Multiple of the mean duration within which nearly all streams finish.
+
+Durations vary by about half of the mean.
+"""
 OTHER_DAEMON_RETRY_S = 0.02
 """Retry delay for callers that can reconnect to another daemon immediately."""
 
--- a/chutelink/entry/state.py
+++ b/chutelink/entry/state.py
@@ -142,7 +142,7 @@
             self._forget(row, "refused")
 
     def _handle_restart(self, before: EndpointRecord, record: EndpointRecord) -> None:
-        """Discard statistics of the previous process; its speed depends on the VM."""
+        """Discard statistics of the previous process, except the VM's speed."""
         self._core.events.record(
             "endpoint_restarted",
             endpoint=record.id,
