--- a/chutelink/entry/app.py
+++ b/chutelink/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry daemon's application object: wiring only."""
+"""Application object of the entry daemon: creates and connects its components."""
 
 from __future__ import annotations
 
@@ -31,57 +31,58 @@
 from ..watching.timing import fit_time_limit
 from ..watching.watch import StoreWatch
 from .adapter import Handler, PlatformAdapter
-from .callers import make_callers
+from .caller_server import make_caller_server
 from .demand import DemandTable
 from .directory import Directory, count_candidates
 from .http import CallerHttp
 from .listeners import ACCEPT_QUEUE
 from .loads import LoadBook
-from .membership import FormerFleet, Registration, make_member, port_of
-from .newsdesk import NewsDesk
+from .membership import PreviousFleet, Registration, make_member, port_of
+from .message_router import MessageRouter
 from .pending import PendingTable
 from .state import EntryState
 
 MS_PER_S = 1000.0
 JOIN_POLL_S = 0.02
-LOAD_NEWS_PERIOD_S = 0.2
-"""How often other daemons hear what is under way; choices are as old at most."""
-KEPT_ANSWER_FACTOR = 3
-"""Some callers keep an answer three times as long as they should."""
-STOP_MARGIN_S = 0.8
-"""Left of the grace for closing down."""
+LOAD_REPORT_PERIOD_S = 0.2
+"""Interval of load reports to other daemons, which bounds how stale routing data is."""
+CACHED_ADDRESS_FACTOR = 3
+"""Some callers cache a directory response for three times its validity."""
+SHUTDOWN_MARGIN_S = 0.8
+"""Part of the grace period that is reserved for shutting down."""
 DRAIN_POLL_S = 0.05
-REFUSE_LEAD_S = 0.5
-"""How long before the end requests are refused that still wait for a model."""
-IDLE_MARGIN = 1.1
-HOLDS_WAIT_S = 1.5
-"""How long after a start requests wait for what is kept away: two tries of a read.
-
-The store may be away in part, and serving does not need that table.
+REFUSE_WAITING_LEAD_S = 0.5
+"""Time before the drain deadline at which requests waiting for a model are refused."""
+CACHE_TIME_MARGIN = 1.1
+QUARANTINE_WAIT_S = 1.5
+"""Time after a start for which readiness waits for the quarantine table.
+
+This allows two attempts to read it. The store may be partially unavailable, and
+serving does not depend on that table.
 """
 MIN_LAPSE_HEARTBEATS = 2
-"""Heartbeats that an endpoint misses at least before its registration lapses.
+"""Minimum number of heartbeats an endpoint misses before its registration lapses.
 
-It lapses after three intervals, and the last heartbeat that arrived may have been up to
-one before the store went away.
+A registration lapses after three intervals, and the last heartbeat that arrived may
+precede a store outage by up to one interval.
 """
 MAX_LAPSE_HEARTBEATS = 4
-"""Heartbeats after which the registration of an endpoint that ended has lapsed."""
+"""Heartbeat intervals after which a terminated endpoint's registration has lapsed."""
 MAX_HEADER_BYTES = 64 * 1024
-"""What the parser takes; the configuration's limit is checked afterwards."""
+"""Limit of the HTTP parser; the configured limit is checked afterwards."""
 
 
 class EntryApp(Application):
-    """Answers callers on one VM, and places models while it holds the lease.
+    """Serves callers on one VM, and places models while it holds the placer lease.
 
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     adapter : PlatformAdapter
-        Speaks the platform's protocols.
+        Implements the platform's protocols.
     caller_listener : socket.socket, optional
-        Queues callers' connections already.
+        Socket that is already listening for callers.
     """
 
     def __init__(
@@ -120,13 +121,13 @@
         self.lease: PlacerLease | None = None
         self.placer: Placer | None = None
         self.callers: CallerHttp | None = None
-        self.news: NewsDesk | None = None
+        self.router: MessageRouter | None = None
         self._upstream: Upstream | None = None
         self._caller_server: web.Server | None = None
         self._listeners: list[asyncio.Server] = []
 
     async def async_setup_parts(self) -> None:
-        """Create the parts, then start them."""
+        """Create and connect the components, then start them."""
         entry = self.settings.entry
         bound_s = min(entry.config_apply_ms, entry.drain_ms) / MS_PER_S
         table = self._adapter.make_table(
@@ -138,7 +139,7 @@
         )
         self._upstream = Upstream()
         self.mesh = Mesh(self, self.settings.peers, self.members)
-        self.news = NewsDesk(
+        self.router = MessageRouter(
             self,
             self.mesh,
             self.directory,
@@ -149,13 +150,13 @@
             self.quarantine,
             self.quotas.keeper,
         )
-        self.quarantine.send = self.news.send
-        self.quotas.keeper.send = self.news.reply
+        self.quarantine.send = self.router.send
+        self.quotas.keeper.send = self.router.reply
         self.quotas.keeper.linked = self.mesh.linked_members
         self._setup_permits()
-        self.mesh.on_broadcast = self.news.take
-        self.mesh.on_direct = self.news.take_direct
-        self.mesh.on_members_changed = self.news.choose_links
+        self.mesh.on_broadcast = self.router.handle_broadcast
+        self.mesh.on_direct = self.router.handle_direct
+        self.mesh.on_members_changed = self.router.choose_links
         bounds_s = {
             TABLE_CONFIG: bound_s,
             TABLE_ENDPOINTS: bound_s,
@@ -163,23 +164,25 @@
         }
         outage_s = MIN_LAPSE_HEARTBEATS * entry.endpoint_heartbeat_ms / MS_PER_S
         self.watch = StoreWatch(
-            self, table, bounds_s, self.rank, self.news.send, outage_s
+            self, table, bounds_s, self.rank, self.router.send, outage_s
         )
         self.watch.alone_until_s = self.mesh.alone_until_s
         self.keeper = QuarantineKeeper(self, table, self.quarantine, self.rank)
-        self.watch.on_row = self._take_row
-        self.watch.on_restored = self._note_restored
-        self.watch.reply = self.news.reply
+        self.watch.on_row = self._apply_row
+        self.watch.on_restored = self._handle_restored
+        self.watch.reply = self.router.reply
         self.watch.compact = self._adapter.compact_row
         gap_s = self.settings.entry.holder_gap_ms / MS_PER_S
-        self.lease = PlacerLease(self, table, self.rank, gap_s, self.news.send)
+        self.lease = PlacerLease(self, table, self.rank, gap_s, self.router.send)
         self._setup_placer()
-        self.callers = make_callers(self, self._adapter.make_dialect(), self._upstream)
-        self.news.watch = self.watch
-        self.news.lease = self.lease
-        self.news.placer = self.placer
-        self.known.on_config = self._take_config
-        self.known.on_endpoints = self._take_endpoints
+        self.callers = make_caller_server(
+            self, self._adapter.make_dialect(), self._upstream
+        )
+        self.router.watch = self.watch
+        self.router.lease = self.lease
+        self.router.placer = self.placer
+        self.known.on_config = self._apply_config
+        self.known.on_endpoints = self._handle_endpoints_changed
         for part in (
             self.mesh,
             self.watch,
@@ -196,17 +199,17 @@
             self.mesh,
             peer_address,
             self.members.own.capacity,
-            looks_back=has_quotas,
+            reads_previous_fleet=has_quotas,
             era=lambda: self.watch.era,
         )
-        registration.on_former = self._take_former
+        registration.on_previous_fleet = self._apply_previous_fleet
         self.add_future(registration.async_run())
 
     def _setup_permits(self) -> None:
-        self.news.permits = self.permits
-        self.permits.send = self.news.reply
+        self.router.permits = self.permits
+        self.permits.send = self.router.reply
         self.permits.linked = self.mesh.linked_members
-        self.permits.serving = lambda: self.news.serving
+        self.permits.serving = lambda: self.router.serving
 
     def _setup_placer(self) -> None:
         self.placer = Placer(
@@ -218,13 +221,13 @@
             self.known.health,
             self.pending,
             DemandPlacement(),
-            self.news.send,
+            self.router.send,
         )
         self.placer.paces.window_s = self.settings.entry.cold_load_window_s
         self.placer.paces.excess = self.settings.entry.cold_load_excess
 
     async def _async_listen(self) -> None:
-        """Listen for operators, then for callers and their questions."""
+        """Listen for operators, callers, address lookups and readiness checks."""
         await super()._async_listen()
         entry = self.settings.entry
         self._caller_server = web.Server(
@@ -246,7 +249,7 @@
     async def _async_serve(
         self, listen: str, server: web.Server, opened: socket.socket | None = None
     ) -> None:
-        """Take connections, of a socket that was opened earlier if there is one."""
+        """Accept connections on ``listen``, or on ``opened`` if it is given."""
         loop = asyncio.get_running_loop()
         if opened is not None:
             listener = await loop.create_server(
@@ -260,28 +263,33 @@
         self._listeners.append(listener)
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the routes for operators."""
+        """Add the HTTP routes for operators."""
         key = self.settings.platform.key
         QuarantineHandlers(self.quarantine, key).add_routes(app)
         CustomerHandlers(self.quotas.keeper, self.daemon_id, key).add_routes(app)
 
     def is_ready(self) -> bool:
-        """Return whether routes and endpoints are known, and holds as far as may be."""
+        """Return whether the routes and endpoints are known.
+
+        The quarantine table must be known as well, unless reading it takes longer
+        than ``QUARANTINE_WAIT_S``.
+        """
         if self.watch is None or self.known.routes is None:
             return False
         if not self.watch.has_read(TABLE_CONFIG, TABLE_ENDPOINTS):
             return False
-        is_late = self.clock() - self._created_s > HOLDS_WAIT_S
+        is_late = self.clock() - self._created_s > QUARANTINE_WAIT_S
         return is_late or self.watch.has_read(TABLE_QUARANTINE)
 
     def is_serving(self) -> bool:
-        """Return whether callers may be sent here."""
+        """Return whether callers may use this daemon."""
         return self.is_ready() and not self.is_draining
 
     def rank(self) -> int:
-        """Return this daemon's place among the live ones, 0 for the first.
+        """Return this daemon's rank among the live daemons, starting at 0.
 
-        Large VMs come first: they read for the others and place models.
+        Daemons on large VMs come first: they read the store on behalf of the others
+        and place models.
         """
         own = self.members.own
         return sum(
@@ -290,7 +298,7 @@
             if member.state is MemberState.ALIVE
         )
 
-    def _take_row(self, change: RowChange) -> None:
+    def _apply_row(self, change: RowChange) -> None:
         if change.key.startswith(PREFIX_HOLDS):
             self.keeper.take_row(
                 change.key, change.value, is_restored=change.is_restored
@@ -298,31 +306,31 @@
             return
         self.known.take_row(change)
 
-    def _note_restored(self, table: str, keys: set[str]) -> None:
+    def _handle_restored(self, table: str, keys: set[str]) -> None:
         if table == TABLE_QUARANTINE:
             self.keeper.note_restored(keys)
 
-    def _take_config(self) -> None:
+    def _apply_config(self) -> None:
         config = self.known.routes.config
         self.placer.config = config
-        self.quotas.update(self.news.serving, self.members)
+        self.quotas.update(self.router.serving, self.members)
         self.quotas.take_customers(config.customers)
 
-    def _take_former(self, former: FormerFleet) -> None:
-        serving = count_candidates(former.capacities)
-        self.quotas.take_former(serving, former.own_began_ago_s)
+    def _apply_previous_fleet(self, previous: PreviousFleet) -> None:
+        serving = count_candidates(previous.capacities)
+        self.quotas.take_former(serving, previous.own_began_ago_s)
 
-    def _take_endpoints(self) -> None:
+    def _handle_endpoints_changed(self) -> None:
         self.pending.signal()
         self.placer.wake()
 
     def take_settings(self, settings: EntrySettings) -> None:
-        """Take over what may change while running; addresses may not."""
+        """Apply reloaded settings; listen addresses can't change while running."""
         self.settings = settings
 
     @Service.task
     async def _async_join(self) -> None:
-        """Let callers be sent here once this daemon can serve them."""
+        """Announce this daemon to callers once it can serve them."""
         while not self.is_ready():
             await self.sleep(JOIN_POLL_S)
         if not self.is_draining:
@@ -330,46 +338,46 @@
             self.events.info("ready", version=self.known.routes.config.version)
 
     @Service.task
-    async def _async_tell_load(self) -> None:
-        """Tell the others now and then, and at once when a request waits."""
+    async def _async_report_load(self) -> None:
+        """Send load reports periodically, and immediately for urgent changes."""
         while not self.should_stop:
             try:
-                async with asyncio.timeout(LOAD_NEWS_PERIOD_S):
+                async with asyncio.timeout(LOAD_REPORT_PERIOD_S):
                     await self.loads.urgent.wait()
             except TimeoutError:
                 pass
             self.loads.urgent.clear()
-            self.quotas.update(self.news.serving, self.members)
+            self.quotas.update(self.router.serving, self.members)
             self.known.expire()
             self.known.endpoints.forget_silent(self.clock())
             unreachable = self.known.health.unreachable(self.clock())
-            news = self.loads.take(self.daemon_id, self.known.endpoints, unreachable)
-            if news is not None:
-                self.news.send(news)
+            report = self.loads.take(self.daemon_id, self.known.endpoints, unreachable)
+            if report is not None:
+                self.router.send(report)
 
     async def async_drain(self) -> None:
-        """Leave: out of the answers first, then no new connections, then stop."""
+        """Drain: leave the directory, then refuse connections, then finish requests."""
         grace_end_s = self.drain_requested_s + self.settings.entry.grace_s
-        grace_end_s -= STOP_MARGIN_S
+        grace_end_s -= SHUTDOWN_MARGIN_S
         self.callers.end_by(grace_end_s)
         self.mesh.announce_leaving()
         await self.lease.async_release()
-        kept_s = KEPT_ANSWER_FACTOR * self.settings.entry.address_valid_s
-        kept_end_s = min(grace_end_s, self.clock() + kept_s * IDLE_MARGIN)
-        while self.clock() < kept_end_s:
+        cache_s = CACHED_ADDRESS_FACTOR * self.settings.entry.address_valid_s
+        cache_end_s = min(grace_end_s, self.clock() + cache_s * CACHE_TIME_MARGIN)
+        while self.clock() < cache_end_s:
             await asyncio.sleep(DRAIN_POLL_S)
         for listener in self._listeners:
             listener.close()
-        # What was accepted a moment ago becomes a connection in the next turns.
+        # Sockets accepted just now become connections in the next loop iterations.
         await asyncio.sleep(DRAIN_POLL_S)
         while close_idle(self._caller_server) and self.clock() < grace_end_s:
-            if self.clock() > grace_end_s - REFUSE_LEAD_S:
+            if self.clock() > grace_end_s - REFUSE_WAITING_LEAD_S:
                 self.callers.stop_waiting()
             await asyncio.sleep(DRAIN_POLL_S)
         self.events.info("drained", left=self.callers.in_flight)
 
     async def on_shutdown(self) -> None:
-        """Close what was opened, after the parts have stopped."""
+        """Close listeners and connections after the components have stopped."""
         for listener in self._listeners:
             listener.close()
         if self._upstream is not None:
--- a/chutelink/entry/demand.py
+++ b/chutelink/entry/demand.py
@@ -1,4 +1,4 @@
-"""What is asked for, by model and adapter, over all daemons."""
+"""Request demand by model and adapter, aggregated over all daemons."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 from ..ids import AdapterName, DaemonId, ModelName
 from .news import ModelUse
 
-AVERAGE_S = 3.0
-"""Time constant of averages; demand moves on within some 5 s."""
-ASKS_S = 8.0
-"""Time constant of the count by which a rare model earns a cold load."""
+AVERAGING_S = 3.0
+"""Time constant of the moving averages; demand shifts within about 5 s."""
+ASKS_DECAY_S = 8.0
+"""Decay time constant of the request count that earns a rare model a cold load."""
 CLAIM_VALID_S = 20.0
-"""How long a model that is not asked for again keeps its turn.
+"""How long a model keeps its place in the load order without new requests.
 
-The longest that callers wait for an answer: who is told to come back does so by then.
+This is the longest time that callers wait for a response: a caller that was told to
+retry does so within it.
 """
 WAITING_VALID_S = 1.5
-"""How long a daemon's word on waiting requests counts without a newer one."""
+"""How long a daemon's count of waiting requests is valid without a newer report."""
 
 
-class Use(msgspec.Struct):
-    """Use of one model or adapter.
+class UsageAverage(msgspec.Struct):
+    """Moving averages of the requests for one model or adapter.
 
-    ``work_per_s`` is seconds of an engine's time asked for a second; ``asks``
-    counts arrivals and fades slowly. ``denied_since_s`` is when a request first waited
-    that came after the last one that was served; None where none has waited since.
+    ``work_per_s`` is the requested engine time in seconds per second; ``asks`` is a
+    slowly decaying count of arrivals. ``denied_since_s`` is when the first request
+    since the last served one began to wait; None if none has waited since.
     """
 
     work_per_s: float = 0.0
@@ -38,32 +39,32 @@
     denied_since_s: float | None = None
 
     def note_outcome(self, *, is_served: bool, is_waiting: bool, now_s: float) -> None:
-        """Take in whether requests were served, and whether some wait."""
+        """Update ``denied_since_s``, given whether requests were served or wait."""
         if is_served or now_s - self.last_arrival_s > CLAIM_VALID_S:
             self.denied_since_s = None
         if is_waiting and self.denied_since_s is None:
             self.denied_since_s = now_s
 
     def decay(self, now_s: float) -> None:
-        """Bring the average to now."""
+        """Decay the averages to ``now_s``."""
         elapsed_s = max(0.0, now_s - self.updated_s)
-        factor = math.exp(-elapsed_s / AVERAGE_S)
+        factor = math.exp(-elapsed_s / AVERAGING_S)
         self.work_per_s *= factor
         self.arrivals_per_s *= factor
-        self.asks *= math.exp(-elapsed_s / ASKS_S)
+        self.asks *= math.exp(-elapsed_s / ASKS_DECAY_S)
         self.updated_s = now_s
 
 
 class ModelDemand(msgspec.Struct):
-    """What is asked of a model and all its adapters, as averages by now."""
+    """Current average demand for a model including all of its adapters."""
 
     work_per_s: float = 0.0
     arrivals_per_s: float = 0.0
     last_arrival_s: float = float("-inf")
 
 
-class _Waiting(msgspec.Struct, frozen=True):
-    """Requests that wait at one daemon, as it last said."""
+class _WaitingRequests(msgspec.Struct, frozen=True):
+    """Requests waiting at one daemon, from its latest report."""
 
     requests: int
     patient: int
@@ -71,53 +72,53 @@
 
 
 class DemandTable:
-    """Averages by model and adapter; the empty adapter stands for the model."""
+    """Demand by model and adapter; the empty adapter name denotes the base model."""
 
     def __init__(self) -> None:
-        self.uses: dict[tuple[ModelName, AdapterName], Use] = {}
+        self.uses: dict[tuple[ModelName, AdapterName], UsageAverage] = {}
         self._waiting: dict[
-            tuple[ModelName, AdapterName], dict[DaemonId, _Waiting]
+            tuple[ModelName, AdapterName], dict[DaemonId, _WaitingRequests]
         ] = {}
 
     def take(self, daemon: DaemonId, uses: list[ModelUse], now_s: float) -> None:
-        """Take in what one daemon was asked for."""
-        for news in uses:
-            key = (news.model, news.adapter)
-            use = self.uses.setdefault(key, Use(updated_s=now_s))
-            use.decay(now_s)
-            use.work_per_s += news.work_s / AVERAGE_S
-            use.arrivals_per_s += news.arrivals / AVERAGE_S
-            use.asks += news.arrivals
-            if news.arrivals:
-                use.last_arrival_s = now_s
-            use.note_outcome(
-                is_served=news.served > 0, is_waiting=news.waiting > 0, now_s=now_s
+        """Apply the usage reported by one daemon."""
+        for usage in uses:
+            key = (usage.model, usage.adapter)
+            average = self.uses.setdefault(key, UsageAverage(updated_s=now_s))
+            average.decay(now_s)
+            average.work_per_s += usage.work_s / AVERAGING_S
+            average.arrivals_per_s += usage.arrivals / AVERAGING_S
+            average.asks += usage.arrivals
+            if usage.arrivals:
+                average.last_arrival_s = now_s
+            average.note_outcome(
+                is_served=usage.served > 0, is_waiting=usage.waiting > 0, now_s=now_s
             )
             waiting = self._waiting.setdefault(key, {})
-            waiting[daemon] = _Waiting(news.waiting, news.patient, now_s)
+            waiting[daemon] = _WaitingRequests(usage.waiting, usage.patient, now_s)
 
     def totals(self, now_s: float) -> dict[ModelName, ModelDemand]:
-        """Return the demand of every model that was asked for, in one pass."""
+        """Return the demand for every requested model, computed in one pass."""
         totals: dict[ModelName, ModelDemand] = {}
-        for (name, _), use in self.uses.items():
-            use.decay(now_s)
+        for (name, _), average in self.uses.items():
+            average.decay(now_s)
             total = totals.setdefault(name, ModelDemand())
-            total.work_per_s += use.work_per_s
-            total.arrivals_per_s += use.arrivals_per_s
-            total.last_arrival_s = max(total.last_arrival_s, use.last_arrival_s)
+            total.work_per_s += average.work_per_s
+            total.arrivals_per_s += average.arrivals_per_s
+            total.last_arrival_s = max(total.last_arrival_s, average.last_arrival_s)
         return totals
 
     def asks(self, model: ModelName, now_s: float) -> float:
-        """Return how often a model was lately asked for, fading in some 8 s."""
+        """Return the number of recent requests for a model, decaying in about 8 s."""
         total = 0.0
-        for (name, _), use in self.uses.items():
+        for (name, _), average in self.uses.items():
             if name == model:
-                use.decay(now_s)
-                total += use.asks
+                average.decay(now_s)
+                total += average.asks
         return total
 
     def has_patient(self, model: ModelName, now_s: float) -> bool:
-        """Return whether a request waits that has time for a cold load."""
+        """Return whether a waiting request has enough time left for a cold load."""
         return any(
             waiting.patient and now_s - waiting.heard_s < WAITING_VALID_S
             for (name, _), by_daemon in self._waiting.items()
@@ -126,25 +127,26 @@
         )
 
     def denied_s(self, now_s: float) -> dict[tuple[ModelName, AdapterName], float]:
-        """Return how long models and adapters have been waited for, refusals included.
+        """Return how long requests for models and adapters have been unserved.
 
-        Since the first request for each that came after the last one that was served.
-        A turn is so not lost with the request that asked for it.
+        The time counts from the first request after the last served one and includes
+        refused requests, so a model keeps its place in the load order when the
+        request that needed it is refused.
         """
         return {
-            key: now_s - use.denied_since_s
-            for key, use in self.uses.items()
-            if use.denied_since_s is not None
-            and now_s - use.last_arrival_s < CLAIM_VALID_S
+            key: now_s - average.denied_since_s
+            for key, average in self.uses.items()
+            if average.denied_since_s is not None
+            and now_s - average.last_arrival_s < CLAIM_VALID_S
         }
 
     def adapter_arrival_s(self, model: ModelName, adapter: AdapterName) -> float:
-        """Return when an adapter was last asked for."""
-        use = self.uses.get((model, adapter))
-        return float("-inf") if use is None else use.last_arrival_s
+        """Return when an adapter was last requested."""
+        average = self.uses.get((model, adapter))
+        return float("-inf") if average is None else average.last_arrival_s
 
     def waiting(self, now_s: float) -> dict[tuple[ModelName, AdapterName], int]:
-        """Return how many requests wait for each model and adapter."""
+        """Return the number of waiting requests by model and adapter."""
         counts: dict[tuple[ModelName, AdapterName], int] = {}
         for key, by_daemon in self._waiting.items():
             count = sum(
@@ -157,7 +159,7 @@
         return counts
 
     def recent(self, now_s: float, window_s: float) -> list[ModelName]:
-        """Return the models that were asked for lately, busiest first."""
+        """Return the models requested within the window, highest demand first."""
         totals = {
             name: total
             for name, total in self.totals(now_s).items()
--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -1,4 +1,4 @@
-"""The HTTP servers of an entry daemon: callers, addresses and readiness."""
+"""HTTP server for callers of an entry daemon."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ..relaying.upstream import WholeResponse, forwarded_headers
 from .config import CallerLimits, Route, RouteTable, ServiceSpec
 from .dialect import RequestMeta
-from .stopping import ELSEWHERE_RETRY_S, can_end
+from .shutdown import OTHER_DAEMON_RETRY_S, can_finish
 
 HTTP_BAD_REQUEST = 400
 HTTP_NOT_FOUND = 404
@@ -31,29 +31,29 @@
 START_WAIT_S = 0.3
 """How long after a start requests wait for the configuration and the endpoints.
 
-Both take two calls of the store, some 10 ms; without an answer by then the store
-is away, and requests are refused.
+Loading both takes two calls to the store, about 10 ms. If there is no response by
+then, the store is unavailable and requests are refused.
 """
 START_POLL_S = 0.005
 DEFAULT_DEADLINE_S = 60.0
-"""For requests that name none, on routes that allow as much."""
+"""Deadline of requests that state none, capped by the timeout of the route."""
 
 
 class CallerHttp:
-    """Answers callers.
+    """Handles callers' requests.
 
     Parameters
     ----------
     core : Application
         The owner.
     exchanges : Exchanges
-        Tables and policies.
+        Shared tables and policies of the relays.
     relay, streams
-        Relays for whole answers and for streams.
+        Relays for complete responses and for streams.
     customers : CustomerGate
-        Knows keys and quotas.
+        Checks keys and quotas.
     routes : callable
-        Returns the routes in force, or None.
+        Returns the active routes, or None.
     is_ready : callable
         Returns whether routes and endpoints are known.
     """
@@ -75,21 +75,21 @@
         self._customers = customers
         self._routes = routes
         self._is_ready = is_ready
-        self._first_s = core.clock()
+        self._created_s = core.clock()
         self._log = RequestLog(core)
-        self._ends_s: float | None = None
+        self._shutdown_deadline_s: float | None = None
         self.in_flight = 0
 
     def end_by(self, ends_s: float) -> None:
-        """Take only what can end by then: this daemon stops."""
-        self._ends_s = ends_s
+        """Accept only requests that can finish by then, as this daemon shuts down."""
+        self._shutdown_deadline_s = ends_s
 
     def stop_waiting(self) -> None:
-        """Refuse the requests that no endpoint has got yet."""
+        """Refuse the requests that have not been sent to an endpoint yet."""
         self._exchanges.stop_waiting()
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request, whatever it is."""
+        """Handle one request, including invalid ones."""
         self.in_flight += 1
         started_s = self._core.clock()
         exchange: Exchange | None = None
@@ -107,8 +107,10 @@
             reason = refusal.title
             response = self._refuse(refusal)
         except (ConnectionError, asyncio.CancelledError):
-            # Nothing can be told any more.
-            outcome = "cut_at_stop" if self._is_cut(request) else "caller_gone"
+            # The connection is gone, so no response can be sent.
+            outcome = (
+                "cut_at_stop" if self._is_cut_by_shutdown(request) else "caller_gone"
+            )
             raise
         finally:
             self.in_flight -= 1
@@ -121,14 +123,14 @@
     async def _async_accept(
         self, request: web.BaseRequest, admission: Admission, started_s: float
     ) -> Exchange:
-        """Check a request and read its body.
+        """Validate a request and read its body.
 
-        All that can be told from the headers is told before the body is read.
+        Whatever the headers allow is checked before the body is read.
 
         Raises
         ------
         Refusal
-            It can't be served; nothing was run.
+            The request can't be served and has not been run.
         """
         await self._async_until_ready()
         table = self._routes()
@@ -153,13 +155,13 @@
         service = pick_service(route, table.config.services, self._core.rng)
         if service is None:
             raise unavailable("no service for the route", DEFAULT_RETRY_S)
-        self._check_stop(route, meta)
+        self._check_shutdown(route, meta)
         await self._customers.async_admit(admission, meta.counted_tokens)
         body = await self._async_body(request, limits)
         exchange = self._make_exchange(
             request, admission, meta, route, service, target, body, started_s
         )
-        self._check_stop(route, meta)
+        self._check_shutdown(route, meta)
         self._exchanges.note_arrival(exchange)
         return exchange
 
@@ -195,30 +197,33 @@
             admission=admission,
         )
 
-    def _check_stop(self, route: Route, meta: RequestMeta) -> None:
-        """Refuse what this daemon could not see to its end before it stops.
+    def _check_shutdown(self, route: Route, meta: RequestMeta) -> None:
+        """Refuse a request that can't finish before this daemon shuts down.
 
         Raises
         ------
         Refusal
-            Another daemon may serve it.
+            Another daemon may serve the request.
         """
-        if self._ends_s is None:
+        if self._shutdown_deadline_s is None:
             return
-        left_s = self._ends_s - self._core.clock()
+        left_s = self._shutdown_deadline_s - self._core.clock()
         stream_s = self._exchanges.durations.mean_s(meta.model)
-        if not can_end(route, left_s, stream_s):
-            raise unavailable("this daemon is stopping", ELSEWHERE_RETRY_S)
+        if not can_finish(route, left_s, stream_s):
+            raise unavailable("this daemon is stopping", OTHER_DAEMON_RETRY_S)
 
     async def _async_until_ready(self) -> None:
-        """Wait while this daemon has just started: the store answers in a moment."""
-        end_s = self._first_s + START_WAIT_S
+        """Wait until the store has been read if this daemon has just started."""
+        end_s = self._created_s + START_WAIT_S
         while not self._is_ready() and self._core.clock() < end_s:
             await asyncio.sleep(START_POLL_S)
 
-    def _is_cut(self, request: web.BaseRequest) -> bool:
-        """Return whether this daemon ends while the caller still waits."""
-        if self._ends_s is None or self._core.clock() < self._ends_s:
+    def _is_cut_by_shutdown(self, request: web.BaseRequest) -> bool:
+        """Return whether this daemon shuts down while the caller still waits."""
+        if (
+            self._shutdown_deadline_s is None
+            or self._core.clock() < self._shutdown_deadline_s
+        ):
             return False
         return request.transport is not None and not request.transport.is_closing()
 
@@ -232,9 +237,9 @@
     async def _async_body(
         self, request: web.BaseRequest, limits: CallerLimits
     ) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        Each part must arrive within the idle time.
+        Each chunk must arrive within the idle timeout.
         """
         if not request.body_exists:
             return b""
@@ -284,12 +289,12 @@
 
 
 def _has_not_run(exchange: Exchange | None, outcome: str) -> bool:
-    """Return whether it is known that no endpoint has begun a request."""
+    """Return whether it is certain that no endpoint has started the request."""
     if exchange is None or not exchange.tried:
         return True
     return outcome == Outcome.NOT_RUN.value
 
 
 def _time_limit_s(route: Route, deadline_s: float | None) -> float:
-    asked_s = DEFAULT_DEADLINE_S if deadline_s is None else deadline_s
-    return min(asked_s, route.timeout_s) if route.timeout_s else asked_s
+    requested_s = DEFAULT_DEADLINE_S if deadline_s is None else deadline_s
+    return min(requested_s, route.timeout_s) if route.timeout_s else requested_s
--- /dev/null
+++ b/chutelink/entry/message_router.py
@@ -0,0 +1,247 @@
+"""Routes messages between an entry daemon's components and the other daemons."""
+
+from __future__ import annotations
+
+from ..core import Application
+from ..customers.news import Loan, LoanRequest
+from ..customers.quotas import QuotaKeeper
+from ..exceptions import PeerMessageInvalid
+from ..ids import DaemonId
+from ..limits.news import PermitAnswer, PermitRequest
+from ..limits.permits import PermitDesk
+from ..peers.mesh import Mesh
+from ..peers.messages import Broadcast
+from ..placing.lease import PlacerLease
+from ..placing.placer import Placer
+from ..quarantine.news import ClearedNews, EndingNews
+from ..quarantine.service import Quarantine
+from ..relaying.retries import RetryShare
+from ..watching.watch import StoreWatch
+from .demand import DemandTable
+from .directory import Directory
+from .endpoints import PLACER_TIMEOUT_S
+from .news import (
+    EndpointLoad,
+    EntryMessage,
+    LeaseYield,
+    LoadReport,
+    PlacementNews,
+    PlacerBeacon,
+    PromptNews,
+    SnapshotRequest,
+    StoreNews,
+    decode_news,
+    encode_news,
+    topic_of,
+)
+from .pending import PendingTable
+from .state import EntryState
+
+MAX_PROMPT_UPDATE_PEERS = 16
+"""Maximum number of linked daemons for which each prompt is announced when sent.
+
+In larger fleets, each daemon sends only few of an endpoint's prompts, and the periodic
+load reports suffice.
+"""
+SNAPSHOT_PEERS = 6
+"""Number of daemons asked for a table at a time while the store is unreachable."""
+
+
+class MessageRouter:
+    """Dispatches received messages to the components, and sends their messages.
+
+    Parameters
+    ----------
+    core : Application
+        The owner.
+    mesh : Mesh
+        Links to the other daemons.
+    directory : Directory
+        Selects the daemons that serve.
+    known : EntryState
+        State of the endpoints.
+    demand : DemandTable
+        Demand for models.
+    pending : PendingTable
+        Loads in progress.
+    retries : RetryShare
+        Retry budget, divided among the serving daemons.
+    quarantine : Quarantine
+        Requests that terminate endpoints.
+    quotas : QuotaKeeper
+        Quota shares and loans.
+    """
+
+    def __init__(
+        self,
+        core: Application,
+        mesh: Mesh,
+        directory: Directory,
+        known: EntryState,
+        demand: DemandTable,
+        pending: PendingTable,
+        retries: RetryShare,
+        quarantine: Quarantine,
+        quotas: QuotaKeeper,
+    ) -> None:
+        self._core = core
+        self._mesh = mesh
+        self._directory = directory
+        self._known = known
+        self._demand = demand
+        self._pending = pending
+        self._retries = retries
+        self._quarantine = quarantine
+        self._quotas = quotas
+        self.serving: set[DaemonId] = set()
+        """Daemons that callers may use, as of the last membership change."""
+        self._placer_id: DaemonId | None = None
+        self._term = 0
+        self.watch: StoreWatch | None = None
+        self.lease: PlacerLease | None = None
+        self.placer: Placer | None = None
+        self.permits: PermitDesk | None = None
+
+    def send(self, message: EntryMessage) -> None:
+        """Send a message to the daemons that need it, and apply it here if needed."""
+        if isinstance(message, PlacementNews):
+            self._handle_placement(message)
+        elif isinstance(message, LoadReport):
+            self._demand.take(message.daemon, message.uses, self._core.clock())
+            self._apply_streams(message)
+            self._wake_placer(message)
+        if (
+            isinstance(message, PromptNews)
+            and len(self._mesh.direct) > MAX_PROMPT_UPDATE_PEERS
+        ):
+            return
+        body, topic = encode_news(message), topic_of(message)
+        if isinstance(message, PlacementNews | LoadReport | PromptNews):
+            self._mesh.send_to(self._mesh.direct, body, topic)
+        elif isinstance(message, SnapshotRequest):
+            self._mesh.send_to(self._choose_snapshot_peers(), body, topic)
+        else:
+            self._mesh.broadcast(body, topic)
+
+    def _choose_snapshot_peers(self) -> set[DaemonId]:
+        """Return a few linked daemons to ask, as each sends a complete table."""
+        linked = sorted(self._mesh.linked_members())
+        return set(self._core.rng.sample(linked, min(SNAPSHOT_PEERS, len(linked))))
+
+    def reply(self, daemon: DaemonId, message: EntryMessage) -> None:
+        """Send a message to one daemon."""
+        self._mesh.send_to({daemon}, encode_news(message), topic_of(message))
+
+    def handle_broadcast(self, broadcast: Broadcast) -> None:
+        """Handle a broadcast of another daemon."""
+        self.handle_direct(broadcast.origin, broadcast.body)
+
+    def handle_direct(self, origin: DaemonId, body: bytes) -> None:
+        """Handle a message of another daemon."""
+        try:
+            message = decode_news(body, origin)
+        except PeerMessageInvalid as error:
+            self._core.events.warning("news_invalid", error=error)
+            return
+        if isinstance(message, StoreNews):
+            self.watch.take_news(message, origin)
+        elif isinstance(message, SnapshotRequest):
+            self.watch.take_request(message)
+        elif isinstance(message, LoadReport):
+            self._handle_load(message)
+        elif isinstance(message, PromptNews):
+            self._handle_prompt(message)
+        elif isinstance(message, PlacementNews):
+            self._handle_placement(message)
+        elif isinstance(message, PlacerBeacon):
+            self._note_placer(message.daemon, message.term)
+        elif isinstance(message, LeaseYield):
+            self.lease.take_yield(message)
+        elif isinstance(message, EndingNews):
+            self._quarantine.take_endings(message, origin)
+        elif isinstance(message, ClearedNews):
+            self._quarantine.clear(message.fingerprint, "told")
+        elif isinstance(message, LoanRequest):
+            self._quotas.take_request(message)
+        elif isinstance(message, Loan):
+            self._quotas.take_loan(message)
+        elif isinstance(message, PermitRequest):
+            self.permits.take_request(message)
+        elif isinstance(message, PermitAnswer):
+            self.permits.take_answer(message)
+
+    def _handle_load(self, message: LoadReport) -> None:
+        now_s = self._core.clock()
+        self._demand.take(message.daemon, message.uses, now_s)
+        self._known.endpoints.set_other_load(message.daemon, message.endpoints, now_s)
+        self._apply_streams(message)
+        for endpoint, chain in message.prefixes:
+            self._known.prefixes.note(endpoint, chain, now_s)
+        for limit in message.limits:
+            self._known.endpoints.take_limit(limit, now_s)
+        for leaving in message.leaving:
+            self._known.endpoints.note_leaving(leaving.endpoint, leaving.born_ms)
+        self._wake_placer(message)
+
+    def _handle_prompt(self, message: PromptNews) -> None:
+        load = EndpointLoad(message.endpoint, 1, message.read_s, {message.ref: 1})
+        self._known.endpoints.take_sent(message.daemon, load)
+        read_s = message.read_s * self._known.speeds.endpoint_factor(message.endpoint)
+        self._known.reading.note(message.endpoint, read_s, self._core.clock())
+
+    def _apply_streams(self, message: LoadReport) -> None:
+        now_s = self._core.clock()
+        for count in message.streams:
+            self._known.health.note_streams(
+                count.endpoint, count.streams, count.paused, now_s
+            )
+
+    def _wake_placer(self, message: LoadReport) -> None:
+        self.placer.doubt(message.unreachable)
+        if any(use.waiting for use in message.uses):
+            self.placer.wake()
+
+    def _handle_placement(self, message: PlacementNews) -> None:
+        if not self._note_placer(message.daemon, message.term):
+            return
+        if message.daemon != self._core.daemon_id:
+            for placement in message.endpoints:
+                models = {
+                    model: frozenset(names) for model, names in placement.models.items()
+                }
+                self._known.endpoints.take_models(
+                    placement.endpoint, placement.born_ms, placement.sequence, models
+                )
+        self._pending.take(
+            message.loads, message.term, self._core.clock(), message.queued
+        )
+
+    def _note_placer(self, daemon: DaemonId, term: int) -> bool:
+        """Record a message from a placer; return whether it is the current one.
+
+        Messages of a previous placer may arrive late. A placer with a lower term is
+        accepted once the current one has been silent for longer than a lease lasts.
+        """
+        silent_s = self._core.clock() - self._known.endpoints.last_placer_message_s
+        if term < self._term and silent_s < PLACER_TIMEOUT_S:
+            self._core.events.info("placer_outdated", placer=daemon, term=term)
+            return False
+        self._term = term
+        self.lease.note_holder(daemon, term)
+        self._known.endpoints.last_placer_message_s = self._core.clock()
+        if daemon != self._placer_id:
+            self._placer_id = daemon
+            self.choose_links()
+        return True
+
+    def choose_links(self) -> None:
+        """Link to the placer, and to the serving daemons if this daemon needs them."""
+        serving = self._directory.serving()
+        self.serving = set(serving)
+        self._retries.daemons = max(1, len(serving))
+        own_id = self._core.daemon_id
+        is_needed = own_id in serving or own_id == self._placer_id
+        wanted = set(serving) if is_needed else set()
+        if self._placer_id is not None:
+            wanted.add(self._placer_id)
+        self._mesh.direct = wanted - {own_id}
--- a/chutelink/entry/state.py
+++ b/chutelink/entry/state.py
@@ -1,4 +1,4 @@
-"""What an entry daemon believes: routes, endpoints, loads; kept from the tables."""
+"""State of an entry daemon derived from the store: routes, endpoints and statistics."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from ..watching.followed import RowChange
 from .adapter import PlatformAdapter
 from .config import RouteTable
-from .endpoints import Endpoint, EndpointRecord, EndpointTable, Registered
+from .endpoints import Endpoint, EndpointRecord, EndpointTable, RegistrationResult
 
 PREFIX_ENDPOINTS = f"{TABLE_ENDPOINTS}/"
 DEFAULT_LAPSE_S = 4.0
-"""Three heartbeats of a second, and one for when the last of them was written."""
+"""Three heartbeats of one second, plus one for the delay of the last write."""
 
 
 class EntryState:
-    """Takes rows of the store in, each decoded at this edge.
+    """Decodes rows of the store and applies them to the routes and endpoints.
 
     Parameters
     ----------
@@ -35,9 +35,9 @@
     adapter : PlatformAdapter
         Decodes rows.
     quarantine : Quarantine
-        Is told of processes of endpoints that have ended.
+        Notified when endpoint processes restart or vanish.
     lapse_s : float, default=DEFAULT_LAPSE_S
-        How long a registration stays in the store without signs of life.
+        How long a registration stays in the store without heartbeats.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._adapter = adapter
         self.routes: RouteTable | None = None
         self.endpoints = EndpointTable()
-        self.endpoints.on_restarted = self._note_restart
+        self.endpoints.on_restarted = self._handle_restart
         self.endpoints.on_leaving = lambda record: self.on_endpoints()
         self.health = HealthTable()
         self.prefixes = PrefixTable()
@@ -64,18 +64,18 @@
         self.on_endpoints: Callable[[], None] = lambda: None
 
     def take_row(self, change: RowChange) -> None:
-        """Take in a row that has changed."""
+        """Apply a changed or removed row."""
         if change.key == KEY_ROUTING_CONFIG:
             if change.value is not None:
-                self._take_config(change.value)
+                self._apply_config(change.value)
         elif change.key.startswith(PREFIX_ENDPOINTS):
             name = change.key[len(PREFIX_ENDPOINTS) :]
             if change.value is None:
-                self._lose_endpoint(EndpointId(name), change)
+                self._handle_removed_row(EndpointId(name), change)
             else:
-                self._take_endpoint(name, change)
+                self._apply_endpoint(name, change)
 
-    def _take_config(self, value: Any) -> None:
+    def _apply_config(self, value: Any) -> None:
         try:
             config = self._adapter.decode_config(value)
         except ConfigInvalid as error:
@@ -106,20 +106,20 @@
         )
         self.on_config()
 
-    def _take_endpoint(self, name: str, change: RowChange) -> None:
+    def _apply_endpoint(self, name: str, change: RowChange) -> None:
         try:
             record = self._adapter.decode_endpoint(name, change.value)
         except EndpointFailed as error:
-            self._refuse_endpoint(EndpointId(name), error)
+            self._reject_endpoint(EndpointId(name), error)
             return
         now_s = self._core.clock()
         if change.is_restored:
-            meant = self.endpoints.put_restored(record, now_s, self._lapse_s)
+            result = self.endpoints.put_restored(record, now_s, self._lapse_s)
         else:
-            meant = self.endpoints.put(record, now_s)
-        if meant is Registered.OUTDATED:
+            result = self.endpoints.put(record, now_s)
+        if result is RegistrationResult.OUTDATED:
             return
-        if meant is not Registered.SAME:
+        if result is not RegistrationResult.SAME:
             self._core.events.record(
                 "endpoint_seen",
                 endpoint=record.id,
@@ -134,15 +134,15 @@
             )
         self.on_endpoints()
 
-    def _refuse_endpoint(self, endpoint: EndpointId, error: EndpointFailed) -> None:
-        """Send nothing to what a row named before that now names no endpoint."""
+    def _reject_endpoint(self, endpoint: EndpointId, error: EndpointFailed) -> None:
+        """Remove the endpoint of an invalid row, so that it gets no more requests."""
         self._core.events.warning("endpoint_refused", endpoint=endpoint, error=error)
         row = self.endpoints.remove(endpoint)
         if row is not None:
             self._forget(row, "refused")
 
-    def _note_restart(self, before: EndpointRecord, record: EndpointRecord) -> None:
-        """Forget what was learned of the process before; its speed is the VM's."""
+    def _handle_restart(self, before: EndpointRecord, record: EndpointRecord) -> None:
+        """Discard statistics of the previous process, except the VM's speed."""
         self._core.events.record(
             "endpoint_restarted",
             endpoint=record.id,
@@ -155,10 +155,10 @@
         self._quarantine.note_restarted(before.incarnation)
 
     def _since_last_sent_s(self, endpoint: EndpointId) -> float:
-        """Return how long ago this daemon sent a request there, infinite if never."""
+        """Return the time since this daemon's last request there, infinite if none."""
         return self._core.clock() - self.endpoints.rows[endpoint].last_sent_s
 
-    def _lose_endpoint(self, endpoint: EndpointId, change: RowChange) -> None:
+    def _handle_removed_row(self, endpoint: EndpointId, change: RowChange) -> None:
         row = self.endpoints.rows.get(endpoint)
         if row is None:
             return
@@ -186,7 +186,7 @@
         self._forget(row, "removed")
 
     def expire(self) -> None:
-        """Drop endpoints that did not come back after an outage."""
+        """Remove endpoints that did not register again after an outage."""
         for row in self.endpoints.expire(self._core.clock()):
             self._forget(row, "lapsed")
 
