--- a/chutelink/quarantine/__init__.py
+++ b/chutelink/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the endpoints that run them, and how they are kept away."""
+"""Quarantine of requests that terminate the endpoints that run them."""
--- a/chutelink/quarantine/const.py
+++ b/chutelink/quarantine/const.py
@@ -1,55 +1,71 @@
-"""Limits of the quarantine, each with where its figure comes from."""
+"""Limits and timings of the quarantine."""
 
 from __future__ import annotations
 
 from typing import Final
 
 ENDINGS_TO_HOLD: Final = 3
-"""Endpoints that end under one request before it is kept away.
+"""Endpoint terminations during one request before the request is held.
 
-An endpoint's end takes all its streams down, so that each looks like the cause: after
-fewer ends, requests are kept away that only ran beside it. The operators allow 3.
+A terminating endpoint breaks all its streams, so every one of them looks like the
+cause: a lower threshold holds requests that merely ran at the same time. The operators
+allow 3.
 """
-HOLD_S: Final = 300.0
-"""How long a request is kept away at first.
+FIRST_HOLD_S: Final = 300.0
+"""Duration of a request's first hold.
 
-An end costs an endpoint some seconds and its models as much each to load, so that a
-wrong guess costs one endpoint a small part of its time.
+A termination costs an endpoint some seconds, and as much again to load each of its
+models. A trial after this time that terminates an endpoint again therefore costs only
+a small part of that endpoint's time.
 """
-HOLD_FACTOR: Final = 4.0
-"""How much longer each next time."""
+HOLD_BACKOFF_FACTOR: Final = 4.0
+"""Factor by which each further hold is longer than the previous one."""
 MAX_TRIALS: Final = 3
-"""Most trials of a request that was kept away: the operators allow three retries."""
+"""Maximum trials of a held request: the operators allow three retries."""
 MAX_SUSPECTS: Final = 2000
-"""Requests remembered for an end; an end with 64 streams at each of 30 endpoints."""
+"""Maximum number of suspects that are not held.
+
+Enough for one termination with 64 streams at each of 30 endpoints.
+"""
 MAX_HOLDS: Final = 500
-"""Requests kept away at once, and rows in the store; the oldest give way.
+"""Maximum number of held requests and of rows in the store; the oldest are evicted.
+
+Each hold takes three endpoint terminations, so hundreds of holds take a thousand
+terminations.
+"""
+SUSPECT_RETENTION_S: Final = 3600.0
+"""How long a suspect is kept if its request does not recur."""
+SAME_ENDING_TOLERANCE_S: Final = 0.25
+"""Maximum time between two daemons detecting the same termination.
 
-Each costs its caller three endpoints, so that hundreds need a thousand ends.
+Each daemon detects it on its own connections. It is also the longest time for which a
+kept-alive connection may be broken before that is detected.
 """
-SUSPECT_KEPT_S: Final = 3600.0
-"""How long an end is held against a request that does not come again."""
-SAME_END_S: Final = 0.25
-"""How far apart daemons may notice one end of an endpoint, each by its own connections;
-so long may a kept connection be broken before that is noticed.
+MIN_RETRY_AFTER_S: Final = 0.5
+"""Minimum retry delay of a caller while another daemon runs its request as a trial.
+
+The outcome of the trial is known by then.
 """
-MIN_BACK_S: Final = 0.5
-"""When a caller may come back while another daemon tries its request: it is then known
-how that ended.
+LATE_EVIDENCE_S: Final = 8.0
+"""How long after a broken run evidence of the endpoint's termination is accepted.
+
+Registrations lapse after three heartbeats of 1.2 s and are read up to 2 s later; a
+restart is visible as soon as the endpoint has registered again.
 """
-LATE_PROOF_S: Final = 8.0
-"""How long after a broken run the endpoint's end may still be proved.
+ENDING_BATCH_DELAY_S: Final = 0.01
+"""How long ended runs are collected before they are sent to other daemons.
 
-Registrations lapse after three heartbeats of 1.2 s, and are read up to 2 s later; a
-restart shows as soon as the endpoint has registered.
+Runs that break with one endpoint share a message; the delay is far below that of a
+retry.
 """
-TELL_DELAY_S: Final = 0.01
-"""Runs that break with one endpoint are told in one message; far below a retry."""
 MAX_ABOUT_CHARS: Final = 120
-"""How much of a request's host and path operators are shown."""
+"""Maximum length of the host and path of a request that operators are shown."""
 SAVE_PERIOD_S: Final = 0.25
-"""How often holds are looked through that are not in the store yet."""
-SAVE_STEP_S: Final = 0.5
-"""How much later each next daemon saves what the one that saw it has not saved."""
-MAX_SAVED: Final = 50
-"""Most rows written in one transaction; the store takes 100."""
+"""Minimum time between two attempts to write holds to the store."""
+SAVE_RANK_DELAY_S: Final = 0.5
+"""Additional delay per daemon rank before a daemon writes a hold found by another.
+
+The daemon that found the hold writes it first; the others do so only if it fails to.
+"""
+SAVE_BATCH_SIZE: Final = 50
+"""Maximum number of removals, and of holds, written at once; the store accepts 100."""
--- a/chutelink/quarantine/fingerprint.py
+++ b/chutelink/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Tell requests by what they ask for, not by their ids. Pure."""
+"""Fingerprints that identify requests by content instead of by id. Pure."""
 
 from __future__ import annotations
 
@@ -8,13 +8,17 @@
 
 from ..ids import Fingerprint
 
-DIGEST_BYTES = 12
-"""With a million requests kept, two that differ meet with a chance of 1e-17."""
-LENGTH_BYTES = 8
+FINGERPRINT_BYTES = 12
+"""Size of the digest.
+
+The probability of a collision among a million different requests is 1e-17.
+"""
+LENGTH_PREFIX_BYTES = 8
+"""Size of the length prefix that separates the hashed fields."""
 
 
 class RequestContent(msgspec.Struct, frozen=True):
-    """What an endpoint is asked to run; an id or a time limit makes no difference.
+    """The content of a request, without its id and time limit.
 
     ``target`` is the raw path with its query.
     """
@@ -28,19 +32,19 @@
 def make_fingerprint(key: str, content: RequestContent) -> Fingerprint:
     """Return the keyed hash of a request's content.
 
-    All daemons have the same key; callers don't, so that none can make a request that
-    is taken for another one's.
+    All daemons share the key. Callers don't know it, so a caller can't construct a
+    request that has the same fingerprint as another caller's request.
     """
-    digest = hashlib.blake2b(digest_size=DIGEST_BYTES, key=_hash_key(key))
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES, key=_hash_key(key))
     head = (content.method, content.host.lower(), content.target)
     for text in head:
         part = text.encode("utf-8", "surrogateescape")
-        digest.update(len(part).to_bytes(LENGTH_BYTES))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES))
         digest.update(part)
     digest.update(content.body)
     return Fingerprint(digest.hexdigest())
 
 
 def _hash_key(key: str) -> bytes:
-    """Return a key of any length in the size that the hash takes."""
+    """Return a key of any length hashed to a size that blake2b accepts as a key."""
     return hashlib.blake2b(key.encode()).digest()
--- a/chutelink/quarantine/judge.py
+++ b/chutelink/quarantine/judge.py
@@ -1,4 +1,4 @@
-"""Decide which requests are kept away, and for how long. Pure."""
+"""Policies that decide which requests are held, and for how long. Pure."""
 
 from __future__ import annotations
 
@@ -6,53 +6,53 @@
 
 import msgspec
 
-from .const import ENDINGS_TO_HOLD, HOLD_FACTOR, HOLD_S, MAX_TRIALS
+from .const import ENDINGS_TO_HOLD, FIRST_HOLD_S, HOLD_BACKOFF_FACTOR, MAX_TRIALS
 from .model import Hold, Suspect, Verdict
 
 
 class Judge(ABC):
-    """A policy: what a request's endings mean."""
+    """Decides from a request's endings whether it may run."""
 
     @abstractmethod
     def is_guilty(self, suspect: Suspect) -> bool:
-        """Return whether a request is to be kept away from now on."""
+        """Return whether a suspect must be held from now on."""
 
     @abstractmethod
     def begin_hold(self, suspect: Suspect, unix_s: float) -> Hold:
-        """Return the hold of a request that is guilty."""
+        """Return the first hold of a request."""
 
     @abstractmethod
     def begin_trial(self, hold: Hold, unix_s: float) -> Hold:
-        """Return the hold that follows on a trial, should that end badly."""
+        """Return the hold that stays in force if the trial that begins now fails."""
 
     @abstractmethod
-    def judge(self, hold: Hold | None, unix_s: float) -> Verdict:
-        """Return what may be done with a request now."""
+    def decide(self, hold: Hold | None, unix_s: float) -> Verdict:
+        """Return whether a request may run now."""
 
 
 class EndingCount(Judge):
-    """Keeps away what has ended several endpoints and has not run well since.
+    """Holds a request after several endpoints terminated during its runs.
 
-    A run that ends well clears a request, so that one with content that many send is
-    not kept away for being there when endpoints end.
+    A successful run clears a request, so that content that many callers send isn't
+    held merely because it was running when endpoints terminated.
     """
 
     def is_guilty(self, suspect: Suspect) -> bool:
-        """Return whether enough endpoints have ended under it."""
+        """Return whether the suspect has reached the threshold of endings."""
         return len(suspect.endings) >= ENDINGS_TO_HOLD
 
     def begin_hold(self, suspect: Suspect, unix_s: float) -> Hold:
-        """Return the first hold."""
-        return Hold(suspect.about, suspect.endings, unix_s + HOLD_S)
+        """Return a hold of the initial duration."""
+        return Hold(suspect.about, suspect.endings, unix_s + FIRST_HOLD_S)
 
     def begin_trial(self, hold: Hold, unix_s: float) -> Hold:
-        """Return a longer hold, which the trial lifts if it ends well."""
+        """Return a longer hold, which is cleared if the trial succeeds."""
         trials = hold.trials + 1
-        until_unix_s = unix_s + HOLD_S * HOLD_FACTOR**trials
+        until_unix_s = unix_s + FIRST_HOLD_S * HOLD_BACKOFF_FACTOR**trials
         return msgspec.structs.replace(hold, trials=trials, until_unix_s=until_unix_s)
 
-    def judge(self, hold: Hold | None, unix_s: float) -> Verdict:
-        """Return whether it may run; after the last trial only operators free it."""
+    def decide(self, hold: Hold | None, unix_s: float) -> Verdict:
+        """Return the verdict; after the last trial only operators release a hold."""
         if hold is None:
             return Verdict.FREE
         if unix_s < hold.until_unix_s or hold.trials >= MAX_TRIALS:
--- a/chutelink/quarantine/keeper.py
+++ b/chutelink/quarantine/keeper.py
@@ -1,8 +1,8 @@
-"""Keep holds in the store, where they outlast all daemons.
+"""Persistence of holds in the store, where they survive restarts of all daemons.
 
-Only what is settled is written: a hold when it begins, its trials, and its end. Each
-daemon reads them as it follows the table, so that those learn of it too that started
-later or are cut off from the others.
+Only changes of a hold are written: its start, its trials and its end. Each daemon reads
+them by following the table, so that daemons that started later or are disconnected from
+the others receive them too.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 from ..ids import Fingerprint, WriteId, make_id
 from ..store import Check, TableService, Transaction, Write, decode_value
-from .const import MAX_HOLDS, MAX_SAVED, SAVE_PERIOD_S, SAVE_STEP_S
+from .const import MAX_HOLDS, SAVE_BATCH_SIZE, SAVE_PERIOD_S, SAVE_RANK_DELAY_S
 from .model import Hold, Verdict
 from .service import Quarantine
 
@@ -32,18 +32,18 @@
 
 
 class QuarantineKeeper(Service):
-    """Writes holds to the store and takes over those that lie there.
+    """Writes holds to the store and applies those that are stored there.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     table : TableService
-        Where the rows are.
+        Table service that stores the rows.
     quarantine : Quarantine
-        Whose holds they are.
+        Quarantine whose holds are stored.
     rank : callable
-        This daemon's place among the live ones, 0 for the first.
+        Returns this daemon's rank among the live daemons, 0 for the first.
     """
 
     def __init__(
@@ -58,29 +58,32 @@
         self._table = table
         self._quarantine = quarantine
         self._rank = rank
-        self._own: set[Fingerprint] = set()
+        self._found_here: set[Fingerprint] = set()
         self._saved: set[Fingerprint] = set()
-        self._to_remove: set[Fingerprint] = set()
+        self._pending_removals: set[Fingerprint] = set()
         self._cleared: dict[Fingerprint, None] = {}
-        """Holds that have ended, the latest last; an older store has them again."""
+        """Holds that have ended, the latest last.
+
+        A store restored from an older copy may contain them again.
+        """
         self._restored_s = float("-inf")
-        self._wake = asyncio.Event()
+        self._changed = asyncio.Event()
         quarantine.on_held = self._note_held
         quarantine.on_cleared = self._note_cleared
         quarantine.async_claim_trial = self.async_claim_trial
 
     def _note_held(self, fingerprint: Fingerprint) -> None:
-        self._own.add(fingerprint)
+        self._found_here.add(fingerprint)
         self._cleared.pop(fingerprint, None)
-        self._to_remove.discard(fingerprint)
-        self._wake.set()
+        self._pending_removals.discard(fingerprint)
+        self._changed.set()
 
     def _note_cleared(self, fingerprint: Fingerprint) -> None:
-        self._own.discard(fingerprint)
+        self._found_here.discard(fingerprint)
         self._remember_cleared(fingerprint)
         if fingerprint in self._saved:
-            self._to_remove.add(fingerprint)
-            self._wake.set()
+            self._pending_removals.add(fingerprint)
+            self._changed.set()
 
     def _remember_cleared(self, fingerprint: Fingerprint) -> None:
         self._cleared[fingerprint] = None
@@ -88,21 +91,21 @@
             del self._cleared[next(iter(self._cleared))]
 
     def note_restored(self, keys: set[str]) -> None:
-        """Take in that the store came back older, and which rows it has."""
+        """Handle a store that was restored from an older copy with these rows."""
         self._restored_s = self._core.clock()
         self._saved = {Fingerprint(key.removeprefix(PREFIX_HOLDS)) for key in keys}
-        self._wake.set()
+        self._changed.set()
 
     def take_row(self, key: str, value: Any, *, is_restored: bool = False) -> None:
-        """Take in a row of the table; None is one that was removed.
+        """Apply a row of the table; a value of None means that it was removed.
 
-        A row of an older store that came back says nothing against what was known: that
-        is written again.
+        A row of a restored, older store doesn't override newer knowledge, which is
+        written again instead.
         """
         fingerprint = Fingerprint(key.removeprefix(PREFIX_HOLDS))
         if value is None and not is_restored:
             self._saved.discard(fingerprint)
-            self._to_remove.discard(fingerprint)
+            self._pending_removals.discard(fingerprint)
             self._remember_cleared(fingerprint)
             self._quarantine.clear(fingerprint, "removed_from_store")
         if value is None:
@@ -110,20 +113,20 @@
         try:
             hold = msgspec.convert(value, Hold)
         except msgspec.ValidationError as error:
-            # Another program's row holds nothing against any request.
+            # A row that another program wrote must not hold any request.
             self._core.events.warning("hold_invalid", key=key, error=str(error))
             return
         if is_restored and self._is_outdated(fingerprint, hold):
             self._core.events.info("hold_outdated", fingerprint=fingerprint)
             return
         self._saved.add(fingerprint)
-        self._quarantine.take_hold(fingerprint, hold)
+        self._quarantine.apply_stored_hold(fingerprint, hold)
 
     def _is_outdated(self, fingerprint: Fingerprint, hold: Hold) -> bool:
-        """Return whether a hold of an older store is of before what is known here."""
+        """Return whether a hold of a restored store is older than the known state."""
         known = self._quarantine.table.holds().get(fingerprint)
         if known is None and fingerprint in self._cleared:
-            self._to_remove.add(fingerprint)
+            self._pending_removals.add(fingerprint)
             return True
         if known is None or hold.trials >= known.trials:
             return False
@@ -131,44 +134,44 @@
         return True
 
     @Service.task
-    async def _async_loop(self) -> None:
+    async def _async_save_loop(self) -> None:
         while not self.should_stop:
             try:
-                await self.async_save()
+                await self.async_save_pending()
             except (
                 PlatformUnavailable,
                 WriteOutcomeUnknown,
                 TransactionConflict,
             ) as error:
-                # Written again next time: the same row twice changes nothing.
+                # The next attempt writes them again; writing a row twice is harmless.
                 self._core.events.warning("holds_not_saved", error=error)
-            await self._async_wait()
+            await self._async_wait_for_changes()
 
-    async def _async_wait(self) -> None:
-        # Between two calls in any case, also when more is to be written at once.
+    async def _async_wait_for_changes(self) -> None:
+        # Limits the rate of writes, also while more holds are waiting to be written.
         await self.sleep(SAVE_PERIOD_S)
-        self._wake.clear()
-        while not self._is_due() and not self.should_stop:
+        self._changed.clear()
+        while not self._has_pending_writes() and not self.should_stop:
             try:
-                async with asyncio.timeout(SAVE_STEP_S):
-                    await self._wake.wait()
+                async with asyncio.timeout(SAVE_RANK_DELAY_S):
+                    await self._changed.wait()
             except TimeoutError:
                 continue
-            self._wake.clear()
+            self._changed.clear()
 
-    def _is_due(self) -> bool:
-        return bool(self._to_remove or self._excess() or self._unsaved())
+    def _has_pending_writes(self) -> bool:
+        return bool(self._pending_removals or self._evicted() or self._unsaved())
 
-    async def async_save(self) -> None:
+    async def async_save_pending(self) -> None:
         """Write the holds that are not in the store, and remove those that ended.
 
         Raises
         ------
         PlatformUnavailable, WriteOutcomeUnknown
-            They may not be there.
+            The changes may not have been stored.
         """
-        removed = [*self._to_remove, *self._excess()][:MAX_SAVED]
-        unsaved = self._unsaved()[:MAX_SAVED]
+        removed = [*self._pending_removals, *self._evicted()][:SAVE_BATCH_SIZE]
+        unsaved = self._unsaved()[:SAVE_BATCH_SIZE]
         writes = [Write(PREFIX_HOLDS + name, None) for name in removed]
         holds = self._quarantine.table.holds()
         writes += [
@@ -181,46 +184,49 @@
         restored_s = self._restored_s
         await self._table.async_transact(transaction)
         if restored_s != self._restored_s:
-            # What was written may have been lost meanwhile; it is written again.
+            # The restore may have lost this write, so it stays pending.
             return
-        self._to_remove.difference_update(removed)
+        self._pending_removals.difference_update(removed)
         self._saved.difference_update(removed)
         self._saved.update(unsaved)
-        self._own.difference_update(unsaved)
+        self._found_here.difference_update(unsaved)
 
-    def _excess(self) -> list[Fingerprint]:
-        """Return the rows that gave way to newer ones; one daemon removes them."""
+    def _evicted(self) -> list[Fingerprint]:
+        """Return the stored holds that were evicted; one daemon removes the rows."""
         if len(self._saved) <= MAX_HOLDS or self._rank():
             return []
         return [f for f in self._saved if f not in self._quarantine.table]
 
     def _unsaved(self) -> list[Fingerprint]:
-        """Return the holds to write: own ones, and others' that were not written."""
+        """Return the holds to write.
+
+        Those found by other daemons are included once their finders are overdue.
+        """
         now_s = self._core.clock()
-        late_s = SAVE_STEP_S * (1 + self._rank())
+        late_s = SAVE_RANK_DELAY_S * (1 + self._rank())
         found = []
         for fingerprint in self._quarantine.table.holds():
             if fingerprint in self._saved:
                 continue
             held_s = self._quarantine.table.get(fingerprint).held_s
             waited_s = now_s - max(held_s, self._restored_s)
-            if fingerprint in self._own or waited_s >= late_s:
+            if fingerprint in self._found_here or waited_s >= late_s:
                 found.append(fingerprint)
         return found
 
     async def async_claim_trial(self, fingerprint: Fingerprint) -> bool:
-        """Return whether this daemon alone may try a request whose hold has run out.
+        """Return whether this daemon may run the trial of an expired hold.
 
-        The hold that follows is written first: a trial that ends badly, or whose
-        daemon ends with it, leaves it in force.
+        At most one daemon is granted each trial. The next hold is written first, so
+        that it stays in force if the trial fails or this daemon terminates meanwhile.
         """
         try:
-            return await self._async_claim(fingerprint)
+            return await self._async_claim_stored_trial(fingerprint)
         except (TransactionConflict, PlatformUnavailable, WriteOutcomeUnknown) as error:
             self._log_trial(fingerprint, is_granted=False, error=error)
             return False
 
-    async def _async_claim(self, fingerprint: Fingerprint) -> bool:
+    async def _async_claim_stored_trial(self, fingerprint: Fingerprint) -> bool:
         key = PREFIX_HOLDS + fingerprint
         page = await self._table.async_read(key)
         row = page.get(key)
@@ -228,19 +234,19 @@
         if hold is None:
             return False
         unix_s = self._quarantine.unix_clock()
-        if self._quarantine.judge.judge(hold, unix_s) is not Verdict.TRIAL:
-            self._quarantine.take_hold(fingerprint, hold)
+        if self._quarantine.policy.decide(hold, unix_s) is not Verdict.TRIAL:
+            self._quarantine.apply_stored_hold(fingerprint, hold)
             return False
-        following = self._quarantine.judge.begin_trial(hold, unix_s)
-        write = Write(key, msgspec.to_builtins(following))
+        next_hold = self._quarantine.policy.begin_trial(hold, unix_s)
+        write = Write(key, msgspec.to_builtins(next_hold))
         check = Check(key, row.version)
         transaction = Transaction(WriteId(make_id()), (check,), (write,))
         commit = await self._table.async_transact(transaction)
         if commit.era != page.era:
-            # Another daemon may have been granted the trial in the older store.
+            # Another daemon may have been granted the trial in the restored store.
             self._log_trial(fingerprint, is_granted=False)
             return False
-        self._quarantine.take_hold(fingerprint, following)
+        self._quarantine.apply_stored_hold(fingerprint, next_hold)
         self._log_trial(fingerprint, is_granted=True)
         return True
 
--- a/chutelink/quarantine/model.py
+++ b/chutelink/quarantine/model.py
@@ -1,4 +1,4 @@
-"""What is known of requests that were running where an endpoint ended."""
+"""Data model of endpoint terminations and the requests that may cause them."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class Evidence(Enum):
-    """What proved that an endpoint has ended."""
+    """Evidence that an endpoint has terminated."""
 
     REFUSED = "connection_refused"
     RESTARTED = "restarted"
-    VANISHED = "registration_lapsed"
+    REGISTRATION_LAPSED = "registration_lapsed"
 
 
 class Verdict(Enum):
-    """What may be done with a request."""
+    """Whether a request may run."""
 
     FREE = "free"
     HELD = "held"
     TRIAL = "trial"
-    """Its hold has run out: it may run once, if no other daemon tries it too."""
+    """Its hold has expired: it may run once, if no other daemon runs the trial."""
 
 
 class Ending(msgspec.Struct, frozen=True, array_like=True):
-    """One end of an endpoint.
+    """One termination of an endpoint.
 
-    ``born_ms`` is the start of the process that was registered then; ``number`` counts
-    the endpoint's ends that were known by then, as the next process may end before it
-    has registered.
+    ``born_ms`` is the start time of the process that was registered at that time.
+    ``number`` counts the endpoint's terminations known by then, since the next process
+    may terminate before it has registered.
     """
 
     endpoint: EndpointId
@@ -40,20 +40,20 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Which of an endpoint's ends is the later one."""
+        """Sort key of an endpoint's endings, the earliest first."""
         return self.born_ms, self.number
 
     @property
     def label(self) -> str:
-        """The name for logs and operators."""
+        """Identifier shown in logs and to operators."""
         return f"{self.endpoint}@{self.born_ms}+{self.number}"
 
 
 class BrokenRun(msgspec.Struct, frozen=True):
-    """A run that was broken off, and the process of the endpoint that had it.
+    """A run whose connection broke, and the endpoint process that received it.
 
-    ``about`` shows operators which request it was; ``sent_s`` is on this daemon's
-    clock. ``is_new_connection`` says that no other request was sent before on the
+    ``about`` describes the request to operators; ``sent_s`` is on this daemon's
+    clock. ``is_new_connection`` is true if this was the first request on the
     connection.
     """
 
@@ -67,15 +67,16 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The name of the process that was registered."""
+        """Identifier of the process that was registered."""
         return incarnation_of(self.endpoint, self.born_ms)
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """A request that is kept away, as it lies in the store.
+    """The hold of a request, as stored.
 
-    ``until_unix_s`` is time of day, which outlasts daemons; ``endings`` are
-    the ends of endpoints under it, ``trials`` how often it ran since.
+    ``until_unix_s`` is in Unix time, which stays valid across daemon restarts;
+    ``endings`` are the endpoint terminations during its runs, ``trials`` the number of
+    trials since.
     """
 
     about: str
@@ -85,10 +86,10 @@
 
 
 class Suspect(msgspec.Struct):
-    """A request that was running where an endpoint ended.
+    """A request that was running when an endpoint terminated.
 
-    ``seen_s`` is when that was last learned, on this daemon's clock; ``held_s`` when
-    it was first kept away.
+    ``seen_s`` is when this was last reported, on this daemon's clock; ``held_s`` is
+    when its hold began.
     """
 
     about: str
--- a/chutelink/quarantine/news.py
+++ b/chutelink/quarantine/news.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of requests that end endpoints."""
+"""Messages between daemons about requests that terminate endpoints."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class EndedRun(msgspec.Struct, frozen=True, array_like=True):
-    """A request that was running where an endpoint ended.
+    """A request that was running when an endpoint terminated.
 
-    ``noticed_ago_s`` is how long before this was told the run broke off.
+    ``noticed_ago_s`` is the time from the break of the run to this message.
     """
 
     fingerprint: Fingerprint
@@ -21,15 +21,15 @@
 
 
 class EndingNews(msgspec.Struct, frozen=True, array_like=True, tag="endings"):
-    """Endpoints have ended, and what one daemon had running there."""
+    """Reports the runs of one daemon during which endpoints terminated."""
 
     runs: list[EndedRun]
 
 
 class ClearedNews(msgspec.Struct, frozen=True, array_like=True, tag="cleared"):
-    """A request has run well, or operators have freed it."""
+    """Reports that a request ran successfully or was released by an operator."""
 
     fingerprint: Fingerprint
 
 
-QuarantineNews = EndingNews | ClearedNews
+QuarantineMessage = EndingNews | ClearedNews
--- a/chutelink/quarantine/probe.py
+++ b/chutelink/quarantine/probe.py
@@ -1,4 +1,4 @@
-"""Find out whether an endpoint has ended, after a connection to it has broken."""
+"""Probes that check whether an endpoint has terminated after a broken connection."""
 
 from __future__ import annotations
 
@@ -6,45 +6,46 @@
 from abc import ABC, abstractmethod
 from enum import Enum
 
-PROBE_LIMIT_S = 0.25
-"""Longest time to wait for a connection; endpoints are a few ms away.
+PROBE_TIMEOUT_S = 0.25
+"""Timeout of a connection attempt; endpoints are a few ms away.
 
-One behind a cut link answers nothing, which proves nothing of the endpoint.
+An endpoint behind a broken network link doesn't answer either, so a timeout is no
+evidence that the endpoint has terminated.
 """
 
 
 class ProbeResult(Enum):
-    """How an endpoint's address took a connection."""
+    """Result of a connection attempt to an endpoint's address."""
 
     REFUSED = "refused"
-    """Nothing listens there: the process has ended."""
+    """Nothing listens on the port: the process has terminated."""
     ACCEPTED = "accepted"
-    """It lives, or another process is there already."""
+    """The process is alive, or another process has replaced it already."""
     SILENT = "silent"
-    """A cut link, a full queue or a VM without power."""
+    """No answer: a broken link, a full accept queue or a VM without power."""
 
 
 class EndingProbe(ABC):
-    """Asks whether there is still a process at an endpoint's address."""
+    """Checks whether a process still listens at an endpoint's address."""
 
     @abstractmethod
     async def async_probe(self, address: str) -> ProbeResult:
-        """Return how an address takes a connection now."""
+        """Return the result of a connection attempt to an address."""
 
 
 class ConnectProbe(EndingProbe):
-    """Opens a connection and closes it: a port without a listener refuses it."""
+    """Opens and closes a connection, which a port without a listener refuses."""
 
     async def async_probe(self, address: str) -> ProbeResult:
-        """Return how an address takes a connection now."""
+        """Return the result of a connection attempt to an address."""
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(PROBE_LIMIT_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
             return ProbeResult.REFUSED
         except (OSError, TimeoutError, ValueError):
-            # A bad address too: nothing is known of the process.
+            # Includes invalid addresses: the state of the process is unknown.
             return ProbeResult.SILENT
         writer.close()
         return ProbeResult.ACCEPTED
--- a/chutelink/quarantine/table.py
+++ b/chutelink/quarantine/table.py
@@ -1,27 +1,27 @@
-"""The requests that a daemon has reason to watch, bounded in number. Pure."""
+"""Bounded table of suspect requests. Pure."""
 
 from __future__ import annotations
 
 from ..ids import Fingerprint
-from .const import MAX_HOLDS, MAX_SUSPECTS, SUSPECT_KEPT_S
+from .const import MAX_HOLDS, MAX_SUSPECTS, SUSPECT_RETENTION_S
 from .judge import Judge
 from .model import Ending, Hold, Suspect, Verdict
 
 
 class SuspectTable:
-    """Requests under which endpoints have ended.
+    """Requests during whose runs endpoints have terminated.
 
-    Those that are kept away and the others are in tables of their own, the latest
-    last, so that the oldest give way without a look at all: one end may name hundreds.
+    Held requests and the others are in separate dictionaries, the latest last, so that
+    the oldest are evicted without a scan: one termination may add hundreds of requests.
 
     Parameters
     ----------
-    judge : Judge
-        Says what endings mean.
+    policy : Judge
+        Decides when requests are held and for how long.
     """
 
-    def __init__(self, judge: Judge) -> None:
-        self._judge = judge
+    def __init__(self, policy: Judge) -> None:
+        self._policy = policy
         self._free: dict[Fingerprint, Suspect] = {}
         self._held: dict[Fingerprint, Suspect] = {}
 
@@ -33,20 +33,20 @@
 
     @property
     def held(self) -> int:
-        """How many requests are kept away."""
+        """Number of held requests."""
         return len(self._held)
 
     def get(self, fingerprint: Fingerprint) -> Suspect | None:
-        """Return what is known of a request."""
+        """Return the entry of a request, None if it is unknown."""
         return self._free.get(fingerprint) or self._held.get(fingerprint)
 
     def verdict(self, fingerprint: Fingerprint, unix_s: float) -> Verdict:
-        """Return what may be done with a request."""
+        """Return whether a request may run."""
         row = self._held.get(fingerprint)
-        return self._judge.judge(None if row is None else row.hold, unix_s)
+        return self._policy.decide(None if row is None else row.hold, unix_s)
 
     def holds(self) -> dict[Fingerprint, Hold]:
-        """Return all requests that are kept away."""
+        """Return the holds of all held requests."""
         return {fingerprint: row.hold for fingerprint, row in self._held.items()}
 
     def add_ending(
@@ -57,53 +57,53 @@
         now_s: float,
         unix_s: float,
     ) -> bool:
-        """Take in that an endpoint ended under a request.
+        """Add an endpoint termination to a request.
 
-        Returns whether it is kept away from now on. One end counts once, whoever
-        tells of it.
+        Returns whether this puts the request on hold. A termination counts once,
+        whichever daemons report it.
         """
-        row = self._take_out(fingerprint) or Suspect(about)
+        row = self._pop(fingerprint) or Suspect(about)
         row.seen_s = now_s
         is_new = False
         if ending not in row.endings:
             row.endings += (ending,)
-            is_new = row.hold is None and self._judge.is_guilty(row)
+            is_new = row.hold is None and self._policy.is_guilty(row)
         if is_new:
-            row.hold = self._judge.begin_hold(row, unix_s)
+            row.hold = self._policy.begin_hold(row, unix_s)
             row.held_s = now_s
-        self._put_in(fingerprint, row, now_s)
+        self._insert(fingerprint, row, now_s)
         return is_new
 
     def put_hold(self, fingerprint: Fingerprint, hold: Hold, now_s: float) -> bool:
-        """Take over a hold from the store; return whether it was not known."""
-        row = self._take_out(fingerprint) or Suspect(hold.about)
+        """Apply a hold from the store; return whether the request was not held yet."""
+        row = self._pop(fingerprint) or Suspect(hold.about)
         row.seen_s = now_s
         is_new = row.hold is None
         if is_new:
             row.held_s = now_s
         row.hold = hold
         row.endings = tuple(dict.fromkeys((*hold.endings, *row.endings)))
-        self._put_in(fingerprint, row, now_s)
+        self._insert(fingerprint, row, now_s)
         return is_new
 
     def clear(self, fingerprint: Fingerprint) -> bool:
-        """Forget what is held against a request; return whether there was anything."""
-        return self._take_out(fingerprint) is not None
+        """Remove a request; return whether it was in the table."""
+        return self._pop(fingerprint) is not None
 
-    def _take_out(self, fingerprint: Fingerprint) -> Suspect | None:
+    def _pop(self, fingerprint: Fingerprint) -> Suspect | None:
         return self._free.pop(fingerprint, None) or self._held.pop(fingerprint, None)
 
-    def _put_in(self, fingerprint: Fingerprint, row: Suspect, now_s: float) -> None:
-        """Put a row last, and let the oldest ones give way; a hold only to others."""
+    def _insert(self, fingerprint: Fingerprint, row: Suspect, now_s: float) -> None:
+        """Insert a row as the latest and evict the oldest; holds only evict holds."""
         rows = self._free if row.hold is None else self._held
         rows[fingerprint] = row
         if len(self._held) > MAX_HOLDS:
             del self._held[next(iter(self._held))]
-        while self._free and self._is_oldest_spare(now_s):
+        while self._free and self._should_evict_oldest(now_s):
             del self._free[next(iter(self._free))]
 
-    def _is_oldest_spare(self, now_s: float) -> bool:
+    def _should_evict_oldest(self, now_s: float) -> bool:
         if len(self._free) > MAX_SUSPECTS:
             return True
         oldest = next(iter(self._free.values()))
-        return now_s - oldest.seen_s > SUSPECT_KEPT_S
+        return now_s - oldest.seen_s > SUSPECT_RETENTION_S
--- a/chutelink/quarantine/web.py
+++ b/chutelink/quarantine/web.py
@@ -1,4 +1,4 @@
-"""What operators see of held requests, and how they free one."""
+"""Operator API that lists held requests and releases them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HeldRequest(msgspec.Struct, frozen=True):
-    """A request that is kept away; ``left_s`` until it may be tried again."""
+    """A held request; ``left_s`` is the time until it may be retried."""
 
     fingerprint: Fingerprint
     about: str
@@ -24,7 +24,7 @@
 
 
 class HeldRequests(msgspec.Struct, frozen=True):
-    """All requests that are kept away."""
+    """All held requests."""
 
     held: list[HeldRequest]
 
@@ -35,9 +35,9 @@
     Parameters
     ----------
     quarantine : Quarantine
-        What they look at.
+        Quarantine that is listed and changed.
     operator_key : str
-        Who has it may look and free.
+        Bearer key that authorizes operators.
     """
 
     def __init__(self, quarantine: Quarantine, operator_key: str) -> None:
@@ -49,14 +49,14 @@
         app.router.add_get(PATH_HELD, self.async_list)
         app.router.add_delete(PATH_HELD + "/{fingerprint}", self.async_free)
 
-    def _check(self, request: web.Request) -> None:
+    def _require_operator(self, request: web.Request) -> None:
         given = request.headers.get("Authorization", "")
         if not secrets.compare_digest(given.encode(), self._expected):
             raise web.HTTPUnauthorized(text="operator key missing or wrong")
 
     async def async_list(self, request: web.Request) -> web.Response:
-        """Return what is held, and why."""
-        self._check(request)
+        """Return the held requests and their endings."""
+        self._require_operator(request)
         held = [
             HeldRequest(
                 fingerprint,
@@ -73,8 +73,8 @@
         )
 
     async def async_free(self, request: web.Request) -> web.Response:
-        """Let a request run again, at all daemons."""
-        self._check(request)
+        """Release a held request at all daemons."""
+        self._require_operator(request)
         fingerprint = Fingerprint(request.match_info["fingerprint"])
         if not self._quarantine.free(fingerprint, "operator"):
             raise web.HTTPNotFound(text="nothing is held against it here")
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Requests that ask for the same are known again, and no others."""
+"""Tests for request fingerprints."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @given(CONTENTS, CONTENTS)
-def test_contents_are_told_apart_wherever_they_differ(one, other):
+def test_fingerprints_differ_exactly_if_contents_differ(one, other):
     is_same = msgspec.structs.replace(one, host=one.host.lower()) == (
         msgspec.structs.replace(other, host=other.host.lower())
     )
@@ -22,5 +22,5 @@
 
 
 @given(CONTENTS)
-def test_a_fingerprint_can_not_be_made_without_the_key(content):
+def test_fingerprint_depends_on_the_key(content):
     assert make_fingerprint("k", content) != make_fingerprint("other", content)
--- a/tests/quarantine/test_keeper.py
+++ b/tests/quarantine/test_keeper.py
@@ -1,4 +1,4 @@
-"""Holds in the store: they outlast daemons, and a trial is one daemon's alone."""
+"""Tests for stored holds and for claims of trials."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 BAD = Fingerprint("bad")
 KEY = PREFIX_HOLDS + BAD
-PROCESSES = tuple(f"i-{number}" for number in range(const.ENDINGS_TO_HOLD))
+ENDPOINTS = tuple(f"i-{number}" for number in range(const.ENDINGS_TO_HOLD))
 
 
 class Daemon:
-    """A daemon's quarantine, behind a store that others share."""
+    """A daemon's quarantine, with a store that is shared between daemons."""
 
     def __init__(self, table: FakeTable, rank: int = 0) -> None:
         self.table = table
@@ -40,55 +40,55 @@
     def verdict(self) -> Verdict:
         return self.quarantine.verdict(BAD)
 
-    async def async_end(self, *processes: str) -> None:
-        for process in processes:
-            run = BrokenRun(BAD, "GET a/b", EndpointId(process), 1, "x:1", 0.0)
+    async def async_break_runs(self, *endpoints: str) -> None:
+        for endpoint in endpoints:
+            run = BrokenRun(BAD, "GET a/b", EndpointId(endpoint), 1, "x:1", 0.0)
             await self.quarantine.async_note_broken(run)
 
-    async def async_follow(self) -> None:
-        """Read the table as the watch does."""
+    async def async_read_table(self) -> None:
+        """Apply all rows, as the table watch does."""
         rows = (await self.table.async_read(PREFIX_HOLDS)).rows
         for row in rows:
             self.keeper.take_row(row.key, row.value)
 
 
-def test_a_hold_is_written_and_known_to_a_daemon_that_starts_later():
+def test_stored_hold_reaches_a_daemon_that_starts_later():
     async def async_test():
         table = FakeTable()
         first, later = Daemon(table), Daemon(table)
-        await first.async_end(*PROCESSES)
-        await first.keeper.async_save()
-        await later.async_follow()
+        await first.async_break_runs(*ENDPOINTS)
+        await first.keeper.async_save_pending()
+        await later.async_read_table()
         assert later.verdict is Verdict.HELD
 
     asyncio.run(async_test())
 
 
-def test_what_its_finder_could_not_save_another_daemon_saves():
+def test_another_daemon_saves_a_hold_that_its_finder_did_not_save():
     async def async_test():
         table = FakeTable()
         finder, other = Daemon(table), Daemon(table, rank=2)
         sent = []
         finder.quarantine.send = sent.append
-        await finder.async_end(*PROCESSES)
+        await finder.async_break_runs(*ENDPOINTS)
         await asyncio.sleep(0.05)
         other.quarantine.take_endings(sent[0], "d0")
-        await other.keeper.async_save()
+        await other.keeper.async_save_pending()
         assert not (await table.async_read(PREFIX_HOLDS)).rows
-        other.core.now_s += const.SAVE_STEP_S * 3
-        await other.keeper.async_save()
+        other.core.now_s += const.SAVE_RANK_DELAY_S * 3
+        await other.keeper.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
 
 
-def test_a_hold_outlasts_an_outage_of_the_store():
+def test_hold_survives_a_store_outage():
     async def async_test():
         table = FakeTable()
         daemon = Daemon(table)
-        await daemon.async_end(*PROCESSES)
+        await daemon.async_break_runs(*ENDPOINTS)
         table.is_out = True
-        task = asyncio.ensure_future(daemon.keeper._async_loop.fun(daemon.keeper))
+        task = asyncio.ensure_future(daemon.keeper._async_save_loop.fun(daemon.keeper))
         await asyncio.sleep(0.05)
         assert daemon.verdict is Verdict.HELD
         table.is_out = False
@@ -100,15 +100,15 @@
     asyncio.run(async_test())
 
 
-def test_a_run_that_ends_well_removes_the_row_and_frees_all_daemons():
+def test_successful_run_removes_the_row_and_clears_all_daemons():
     async def async_test():
         table = FakeTable()
         daemon, other = Daemon(table), Daemon(table)
-        await daemon.async_end(*PROCESSES)
-        await daemon.keeper.async_save()
-        await other.async_follow()
+        await daemon.async_break_runs(*ENDPOINTS)
+        await daemon.keeper.async_save_pending()
+        await other.async_read_table()
         daemon.quarantine.note_success(BAD)
-        await daemon.keeper.async_save()
+        await daemon.keeper.async_save_pending()
         assert not [r for r in (await table.async_read(PREFIX_HOLDS)).rows if r.value]
         other.keeper.take_row(KEY, None)
         assert other.verdict is Verdict.FREE
@@ -116,15 +116,15 @@
     asyncio.run(async_test())
 
 
-def test_after_the_hold_one_daemon_alone_tries_it_once():
+def test_one_daemon_is_granted_the_trial_of_an_expired_hold():
     async def async_test():
         table = FakeTable()
         daemons = [Daemon(table, rank) for rank in range(3)]
-        await daemons[0].async_end(*PROCESSES)
-        await daemons[0].keeper.async_save()
+        await daemons[0].async_break_runs(*ENDPOINTS)
+        await daemons[0].keeper.async_save_pending()
         for daemon in daemons:
-            await daemon.async_follow()
-            daemon.unix_s = const.HOLD_S + 1
+            await daemon.async_read_table()
+            daemon.unix_s = const.FIRST_HOLD_S + 1
             assert daemon.verdict is Verdict.TRIAL
         claims = [d.keeper.async_claim_trial(BAD) for d in daemons]
         assert sum(await asyncio.gather(*claims)) == 1
@@ -133,45 +133,45 @@
     asyncio.run(async_test())
 
 
-def test_without_the_store_nothing_is_tried():
+def test_no_trial_without_the_store():
     async def async_test():
         table = FakeTable()
         daemon = Daemon(table)
-        await daemon.async_end(*PROCESSES)
-        daemon.unix_s = const.HOLD_S + 1
+        await daemon.async_break_runs(*ENDPOINTS)
+        daemon.unix_s = const.FIRST_HOLD_S + 1
         table.is_out = True
         assert not await daemon.keeper.async_claim_trial(BAD)
 
     asyncio.run(async_test())
 
 
-def test_a_row_that_is_no_hold_holds_nothing():
+def test_invalid_row_is_ignored():
     daemon = Daemon(FakeTable())
     for value in (7, "x", {"until_unix_s": "soon"}, [], {"endings": 3}):
         daemon.keeper.take_row(KEY, value)
     assert daemon.verdict is Verdict.FREE
 
 
-def test_rows_that_gave_way_to_newer_ones_leave_the_store():
+def test_rows_of_evicted_holds_are_removed_from_the_store():
     async def async_test():
         table = FakeTable()
         daemon = Daemon(table)
-        hold = msgspec.to_builtins(Hold("GET a/b", (), const.HOLD_S))
+        hold = msgspec.to_builtins(Hold("GET a/b", (), const.FIRST_HOLD_S))
         for number in range(const.MAX_HOLDS + 60):
             key = f"{PREFIX_HOLDS}f{number}"
             table.table.commit(Transaction(WriteId(key), (), (Write(key, hold),)))
-        await daemon.async_follow()
+        await daemon.async_read_table()
         for _ in range(2):
-            await daemon.keeper.async_save()
+            await daemon.keeper.async_save_pending()
         rows = (await table.async_read(PREFIX_HOLDS)).rows
         assert len([row for row in rows if row.value]) == const.MAX_HOLDS
-        assert not daemon.keeper._is_due()
+        assert not daemon.keeper._has_pending_writes()
 
     asyncio.run(async_test())
 
 
-def test_bytes_of_a_path_that_are_no_text_can_be_told_and_stored():
-    """They failed in the codec of whoever was to tell or store them."""
+def test_path_with_undecodable_bytes_can_be_sent_and_stored():
+    """Undecodable bytes raised in the codec when they were sent or stored."""
 
     async def async_test():
         table = FakeTable()
@@ -179,8 +179,8 @@
         sent = []
         daemon.quarantine.send = sent.append
         about = "GET a/\udcff\u20ac\x00" + "x" * 500
-        for process in PROCESSES:
-            run = BrokenRun(BAD, about, EndpointId(process), 1, "x:1", 0.0)
+        for endpoint in ENDPOINTS:
+            run = BrokenRun(BAD, about, EndpointId(endpoint), 1, "x:1", 0.0)
             await daemon.quarantine.async_note_broken(run)
         await asyncio.sleep(0.05)
         news = decode_news(encode_news(sent[0]), "d2")
@@ -191,25 +191,25 @@
     asyncio.run(async_test())
 
 
-def test_a_caller_is_never_told_to_come_back_at_once():
+def test_retry_delay_is_never_below_the_minimum():
     async def async_test():
         daemon = Daemon(FakeTable())
-        await daemon.async_end(*PROCESSES)
-        for unix_s in (0.0, const.HOLD_S - 0.01, const.HOLD_S + 100.0):
+        await daemon.async_break_runs(*ENDPOINTS)
+        for unix_s in (0.0, const.FIRST_HOLD_S - 0.01, const.FIRST_HOLD_S + 100.0):
             daemon.unix_s = unix_s
-            assert daemon.quarantine.back_in_s(BAD) >= const.MIN_BACK_S
+            assert daemon.quarantine.back_in_s(BAD) >= const.MIN_RETRY_AFTER_S
 
     asyncio.run(async_test())
 
 
 class RestoredTable(FakeTable):
-    """A table that can come back older, and its followers with it."""
+    """A table that can be restored from an older copy, and notifies its followers."""
 
     def __init__(self) -> None:
         super().__init__()
         self.era = FIRST_ERA
 
-    def restore_for(self, copy, *daemons: Daemon) -> None:
+    def restore_and_notify(self, copy, *daemons: Daemon) -> None:
         before = {key for key in self.table.rows if key.startswith(PREFIX_HOLDS)}
         self.restore(copy)
         rows = {k: r for k, r in self.table.rows.items() if k.startswith(PREFIX_HOLDS)}
@@ -221,72 +221,72 @@
                 daemon.keeper.take_row(key, row.value, is_restored=True)
 
 
-def test_a_hold_that_an_older_store_lacks_stays_and_is_written_again():
-    """Its removal would have let the request end three endpoints more."""
+def test_hold_missing_in_a_restored_store_is_kept_and_written_again():
+    """Otherwise the request could terminate three more endpoints."""
 
     async def async_test():
         table = RestoredTable()
         finder, other = Daemon(table), Daemon(table, rank=1)
         copy = table.copy()
-        await finder.async_end(*PROCESSES)
-        await finder.keeper.async_save()
-        await other.async_follow()
-        table.restore_for(copy, other)
+        await finder.async_break_runs(*ENDPOINTS)
+        await finder.keeper.async_save_pending()
+        await other.async_read_table()
+        table.restore_and_notify(copy, other)
         assert other.verdict is Verdict.HELD
-        await other.keeper.async_save()
+        await other.keeper.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is None
-        other.core.now_s += const.SAVE_STEP_S * 2
-        await other.keeper.async_save()
+        other.core.now_s += const.SAVE_RANK_DELAY_S * 2
+        await other.keeper.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
 
 
-def test_a_hold_that_ended_does_not_come_back_with_an_older_store():
+def test_cleared_hold_does_not_return_with_a_restored_store():
     async def async_test():
         table = RestoredTable()
         daemon = Daemon(table)
-        await daemon.async_end(*PROCESSES)
-        await daemon.keeper.async_save()
+        await daemon.async_break_runs(*ENDPOINTS)
+        await daemon.keeper.async_save_pending()
         copy = table.copy()
         daemon.quarantine.note_success(BAD)
-        await daemon.keeper.async_save()
-        table.restore_for(copy, daemon)
+        await daemon.keeper.async_save_pending()
+        table.restore_and_notify(copy, daemon)
         assert daemon.verdict is Verdict.FREE
-        await daemon.keeper.async_save()
+        await daemon.keeper.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is None
 
     asyncio.run(async_test())
 
 
-def test_a_trial_that_an_older_store_has_lost_is_not_granted_again():
+def test_trial_missing_in_a_restored_store_is_not_granted_again():
     async def async_test():
         table = RestoredTable()
         daemon, other = Daemon(table), Daemon(table, rank=1)
-        await daemon.async_end(*PROCESSES)
-        await daemon.keeper.async_save()
+        await daemon.async_break_runs(*ENDPOINTS)
+        await daemon.keeper.async_save_pending()
         copy = table.copy()
-        daemon.unix_s = other.unix_s = const.HOLD_S + 1.0
+        daemon.unix_s = other.unix_s = const.FIRST_HOLD_S + 1.0
         assert await daemon.keeper.async_claim_trial(BAD)
-        await other.async_follow()
-        table.restore_for(copy, daemon, other)
+        await other.async_read_table()
+        table.restore_and_notify(copy, daemon, other)
         assert other.verdict is Verdict.HELD
-        await daemon.keeper.async_save()
-        other.core.now_s += const.SAVE_STEP_S * 2
-        await other.keeper.async_save()
+        await daemon.keeper.async_save_pending()
+        other.core.now_s += const.SAVE_RANK_DELAY_S * 2
+        await other.keeper.async_save_pending()
         row = (await table.async_read(PREFIX_HOLDS)).get(KEY)
         assert msgspec.convert(row.value, Hold).trials == 1
 
     asyncio.run(async_test())
 
 
-def test_a_trial_whose_claim_an_older_store_takes_by_chance_is_not_granted():
+def test_trial_claim_committed_to_a_restored_store_is_not_granted():
     async def async_test():
         table = RestoredTable()
         daemon = Daemon(table)
-        await daemon.async_end(*PROCESSES)
-        await daemon.keeper.async_save()
-        daemon.unix_s = const.HOLD_S + 1.0
+        await daemon.async_break_runs(*ENDPOINTS)
+        await daemon.keeper.async_save_pending()
+        daemon.unix_s = const.FIRST_HOLD_S + 1.0
         read = table.async_read
 
         async def async_read(prefix, after_version=0):
@@ -300,51 +300,51 @@
     asyncio.run(async_test())
 
 
-def test_a_request_that_is_held_again_stays_held_when_an_older_store_is_back():
-    """That its former hold had ended says nothing against the present one."""
+def test_request_held_again_stays_held_after_a_restore():
+    """The end of the previous hold must not clear the current one."""
 
     async def async_test():
         table = RestoredTable()
         finder, other = Daemon(table), Daemon(table, rank=1)
-        await finder.async_end(*PROCESSES)
-        await finder.keeper.async_save()
-        await other.async_follow()
+        await finder.async_break_runs(*ENDPOINTS)
+        await finder.keeper.async_save_pending()
+        await other.async_read_table()
         row = (await table.async_read(PREFIX_HOLDS)).get(KEY)
         other.quarantine.note_success(BAD)
-        await other.keeper.async_save()
+        await other.keeper.async_save_pending()
         assert other.verdict is Verdict.FREE
         table.table.commit(Transaction(WriteId("w"), (), (Write(KEY, row.value),)))
-        await other.async_follow()
+        await other.async_read_table()
         assert other.verdict is Verdict.HELD
-        table.restore_for(table.copy(), other)
+        table.restore_and_notify(table.copy(), other)
         assert other.verdict is Verdict.HELD
-        await other.keeper.async_save()
+        await other.keeper.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
 
 
-def test_a_hold_that_was_lost_while_it_was_saved_is_written_again():
-    """The answer to the write may arrive after the older store was read."""
+def test_hold_lost_by_a_restore_during_its_write_is_written_again():
+    """The answer to the write may arrive after the restored store was read."""
 
     async def async_test():
         table = RestoredTable()
         daemon = Daemon(table)
         copy = table.copy()
-        await daemon.async_end(*PROCESSES)
+        await daemon.async_break_runs(*ENDPOINTS)
         transact = table.async_transact
 
         async def async_transact(transaction):
             commit = await transact(transaction)
             daemon.core.now_s += 1.0
-            table.restore_for(copy, daemon)
+            table.restore_and_notify(copy, daemon)
             return commit
 
         table.async_transact = async_transact
-        await daemon.keeper.async_save()
+        await daemon.keeper.async_save_pending()
         table.async_transact = transact
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is None
-        await daemon.keeper.async_save()
+        await daemon.keeper.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -1,11 +1,11 @@
-"""What counts as an endpoint's end, and what clears a request."""
+"""Tests for evidence of endings, and for holding and clearing requests."""
 
 from __future__ import annotations
 
 import asyncio
 
 from chutelink.ids import EndpointId, Fingerprint, Incarnation
-from chutelink.quarantine.const import ENDINGS_TO_HOLD, LATE_PROOF_S
+from chutelink.quarantine.const import ENDINGS_TO_HOLD, LATE_EVIDENCE_S
 from chutelink.quarantine.model import BrokenRun, Ending, Verdict
 from chutelink.quarantine.news import ClearedNews, EndedRun, EndingNews
 from chutelink.quarantine.probe import ConnectProbe, EndingProbe, ProbeResult
@@ -44,7 +44,7 @@
     asyncio.run(async_run())
 
 
-def test_enough_ends_under_one_request_keep_it_away():
+def test_request_is_held_after_enough_endings():
     async def async_test(quarantine, core, probe):
         for number in range(ENDINGS_TO_HOLD):
             assert quarantine.verdict(BAD) is Verdict.FREE
@@ -54,11 +54,11 @@
     run(async_test)
 
 
-def test_an_endpoint_that_ends_again_before_its_restart_is_known_counts_again():
-    """It is back under its id at once, and ends before its registration says so.
+def test_second_ending_before_the_restart_is_registered_is_counted():
+    """An endpoint restarts under its id and terminates again before it registers.
 
-    Found by the soak: such ends were taken for the first one told again, and 11 runs
-    ended two endpoints before the request was kept away.
+    Such endings were taken for repeated reports of the first one: in the soak test, 11
+    runs terminated two endpoints before the request was held.
     """
 
     async def async_test(quarantine, core, probe):
@@ -71,7 +71,7 @@
     run(async_test)
 
 
-def test_runs_that_were_there_at_one_end_count_it_once():
+def test_runs_broken_by_one_ending_count_once():
     async def async_test(quarantine, core, probe):
         for number in range(10):
             core.now_s += 0.01
@@ -82,8 +82,8 @@
     run(async_test)
 
 
-def test_one_end_that_daemons_name_differently_counts_once():
-    """One knows already that the endpoint had started again, the other does not."""
+def test_ending_identified_differently_by_two_daemons_counts_once():
+    """Only one of the daemons knows that the endpoint had restarted before."""
 
     async def async_test(quarantine, core, probe):
         core.now_s += 1.0
@@ -95,7 +95,7 @@
     run(async_test)
 
 
-def test_connections_that_break_while_the_endpoint_lives_prove_nothing():
+def test_broken_connections_to_a_live_endpoint_are_no_evidence():
     async def async_test(quarantine, core, probe):
         for number in range(10):
             await quarantine.async_note_broken(broken_run(number))
@@ -105,7 +105,7 @@
     run(async_test, ProbeResult.ACCEPTED)
 
 
-def test_a_restart_under_the_same_id_proves_the_end_later():
+def test_restart_under_the_same_id_confirms_the_ending_later():
     async def async_test(quarantine, core, probe):
         for number in range(ENDINGS_TO_HOLD):
             await quarantine.async_note_broken(broken_run(number))
@@ -117,11 +117,11 @@
     run(async_test, ProbeResult.ACCEPTED)
 
 
-def test_a_restart_long_after_is_not_the_requests():
+def test_restart_after_the_evidence_period_is_not_counted():
     async def async_test(quarantine, core, probe):
         for number in range(ENDINGS_TO_HOLD):
             await quarantine.async_note_broken(broken_run(number))
-        core.now_s += LATE_PROOF_S + 1
+        core.now_s += LATE_EVIDENCE_S + 1
         for number in range(ENDINGS_TO_HOLD):
             quarantine.note_restarted(Incarnation(f"i-{number}@1"))
         assert quarantine.verdict(BAD) is Verdict.FREE
@@ -129,7 +129,7 @@
     run(async_test, ProbeResult.ACCEPTED)
 
 
-def test_a_registration_that_lapses_proves_the_end_of_a_silent_endpoint_only():
+def test_lapsed_registration_confirms_the_ending_of_a_silent_endpoint_only():
     async def async_test(quarantine, core, probe):
         for number, result in enumerate((ProbeResult.ACCEPTED, ProbeResult.SILENT)):
             probe.result = result
@@ -140,7 +140,7 @@
     run(async_test)
 
 
-def test_many_runs_that_break_at_once_cost_one_connection_and_one_message():
+def test_simultaneously_broken_runs_share_one_probe_and_one_message():
     async def async_test(quarantine, core, probe):
         sent = []
         quarantine.send = sent.append
@@ -153,7 +153,7 @@
     run(async_test)
 
 
-def test_what_others_saw_counts_once():
+def test_endings_reported_by_other_daemons_count_once():
     async def async_test(quarantine, core, probe):
         sent = []
         quarantine.send = sent.append
@@ -170,8 +170,8 @@
     run(async_test)
 
 
-def test_a_run_that_ends_well_clears_a_request_everywhere():
-    """Many callers may send the same content; it was only there when they ended."""
+def test_successful_run_clears_a_request_at_all_daemons():
+    """Content that many callers send may merely be running when endpoints end."""
 
     async def async_test(quarantine, core, probe):
         sent = []
@@ -188,7 +188,7 @@
     run(async_test)
 
 
-def test_a_port_without_a_listener_is_told_from_one_that_lives():
+def test_probe_distinguishes_refused_accepted_and_silent():
     async def async_test():
         server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -202,11 +202,11 @@
     asyncio.run(async_test())
 
 
-def test_an_end_counts_whose_restart_is_registered_while_its_address_is_asked():
-    """The new process takes the connection, and its registration was taken before.
+def test_ending_is_counted_if_the_restart_registers_during_the_probe():
+    """The new process accepts the probe, and its registration was handled earlier.
 
-    A loaded daemon was slow to ask: a request ended 20 endpoints, where three keep it
-    away, though each restart was registered at once.
+    On a loaded daemon the probe was slow: a request terminated 20 endpoints, although
+    each restart was registered at once and three endings should hold the request.
     """
 
     async def async_test(quarantine, core, probe):
--- a/tests/quarantine/test_web.py
+++ b/tests/quarantine/test_web.py
@@ -1,4 +1,4 @@
-"""Operators see why a request is kept away, and free it, with the command line."""
+"""Tests for the operator command that lists and releases held requests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 BAD = Fingerprint("bad")
 
 
-def test_what_is_held_is_listed_with_its_reason_and_freed():
+def test_held_request_is_listed_with_its_endings_and_released():
     async def async_test():
         core = make_core()
         quarantine = Quarantine(core)
