--- a/chutelink/customers/__init__.py
+++ b/chutelink/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Customers: who holds which key, and what each may use."""
+"""Customers: authentication by key, and quotas."""
--- a/chutelink/customers/const.py
+++ b/chutelink/customers/const.py
@@ -1,71 +1,73 @@
-"""Limits on what names a customer, and how quotas are shared and lent."""
+"""Limits on customers' keys, and constants for sharing and lending quotas."""
 
 from __future__ import annotations
 
 from typing import Final
 
 MAX_KEY_BYTES: Final = 4096
-"""Longest key that is taken; callers' headers hold 16 KB by default."""
+"""Maximum length of a key; callers' headers hold 16 KB by default."""
 
 MIN_HOLDERS: Final = 16
-"""Fewest holders that a daemon assumes until it knows the others.
+"""Minimum number of holders that a daemon assumes until it knows the others.
 
-As many as serve in one failure domain at most. A daemon that has just started sees
-only itself, and would let a whole quota through alone.
+This is the maximum number of serving daemons in one failure domain. A daemon that has
+just started sees only itself and would otherwise admit a whole quota alone.
 """
 MAX_HOLDERS: Final = 16
-"""Most daemons that share one customer's quota, whatever the size of the fleet."""
+"""Maximum number of daemons that share a customer's quota, for any fleet size."""
 SETTLE_S: Final = 2.0
-"""How long after its start a daemon assumes that it does not know all others yet.
+"""Time after its start in which a daemon assumes that it doesn't know all others yet.
 
-Links settle within a second of a start.
+Links are established within a second of a start.
 """
-HOLDER_PROVED_S: Final = 5.0
-"""How long a daemon must have served before its share stays reserved.
+MIN_HOLDER_UPTIME_S: Final = 5.0
+"""Time that a daemon must have served before its share stays reserved.
 
-While a fleet starts, whoever is found first serves for some tenths of a second; with
-all of them kept, 8 daemons of 60 shared a sixteenth each with others that serve nobody.
+While a fleet starts, the daemons that are found first serve for some tenths of a
+second. With all of their shares reserved, 8 serving daemons of 60 held a sixteenth
+each, and daemons that served nobody held the rest.
 """
-HOLDER_KEPT_S: Final = 60.0
-"""How long the share of a daemon that can't be reached stays reserved.
+HOLDER_RETENTION_S: Final = 60.0
+"""How long the share of an unreachable daemon stays reserved.
 
-It may be cut off from the others only, and still serve callers.
+The daemon may be disconnected only from the others and still serve callers.
 """
 
 START_S: Final = 0.5
-"""What a process needs at least before it serves: what it may use at once.
+"""Minimum startup time of a process; the amount gained in it may be used at once.
 
-The one before it let nothing through in that time, whatever it had used before.
+The previous process admitted nothing during that time, whatever it had used before.
 """
-LIMITED_S: Final = 1.0
+AT_LIMIT_S: Final = 1.0
 """How long after a refusal a customer counts as being at its limit."""
-PEAK_FADE: Final = 0.999
-"""How the largest request seen fades with each one after it: to half in 700."""
-SAVED_SHARE: Final = 0.55
-"""Share of a quota's margin over the steady rate that daemons save up together."""
+PEAK_COST_DECAY: Final = 0.999
+"""Factor by which the largest cost seen decays per request: to half in 700 requests."""
+CAPACITY_SHARE: Final = 0.55
+"""Share of a quota's margin over the steady rate that all daemons accumulate."""
 START_SHARE: Final = 0.35
-"""Share of the margin that daemons begin with, if they did not just begin before.
+"""Share of the margin that daemons start with, unless they also started recently.
 
-With what is saved up, and used before a restart, 0.9 of the margin. The rest covers
-moments in which daemons do not agree on who the holders are.
+Together with the accumulated level and the use before a restart, this makes up 0.9 of
+the margin. The rest covers moments in which daemons disagree on who the holders are.
 """
 
-SMALL_SHARE: Final = 0.1
-"""Requests below this share of a large one never wait for a large one's level."""
-LEND_WAIT_S: Final = 0.08
-"""How long a request waits for what others lend: some round trips of 3 ms."""
+SMALL_REQUEST_SHARE: Final = 0.1
+"""Requests below this share of a large one never wait for the level of a large one."""
+LOAN_TIMEOUT_S: Final = 0.08
+"""How long a request waits for loans: some round trips of 3 ms."""
 LEND_PAUSE_S: Final = 0.25
-"""How long others are not asked again after they had too little.
+"""How long no loans are requested after the lenders had too little.
 
-A customer that sends four times its limit would ask with each request.
+Without a pause, a customer that sends four times its limit would cause loan requests
+with each of its requests.
 """
 MAX_LENDERS: Final = 8
-"""Most daemons that are asked at once, whatever the size of the fleet."""
+"""Maximum number of daemons that are asked for a loan at once, for any fleet size."""
 ASKED_PARTS: Final = 2.0
-"""How many times what is missing is asked for in all, over all lenders."""
+"""Ratio of the amount requested from all lenders together to the missing amount."""
 LENT_SHARE: Final = 0.8
-"""Share of its own level that a daemon lends at most."""
-MAX_BACK_S: Final = 8.0
-"""Longest time after which a caller is told to come back for a quota."""
-MIN_BACK_S: Final = 0.2
-"""Callers are not told to come back sooner than this."""
+"""Maximum share of its own level that a daemon lends."""
+MAX_RETRY_AFTER_S: Final = 8.0
+"""Maximum retry delay given to callers that are over a quota."""
+MIN_RETRY_AFTER_S: Final = 0.2
+"""Minimum retry delay given to callers that are over a quota."""
--- a/chutelink/customers/gate.py
+++ b/chutelink/customers/gate.py
@@ -1,4 +1,4 @@
-"""Who a caller is, and whether its customer may have more now."""
+"""Authentication of callers by key, and admission by their customers' quotas."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 from .model import Customer
 from .quotas import UNLIMITED, QuotaDecision, QuotaKeeper, QuotaVerdict
 
-STALE_RETRY_S = 0.5
-"""A daemon that is behind has usually read the configuration by then."""
+STALE_CONFIG_RETRY_S = 0.5
+"""Retry delay while the configuration is outdated; it usually is up to date by then."""
 
 
 class Admission(msgspec.Struct, eq=False):
-    """What was decided about a caller, for logs; filled in step by step.
+    """The authentication and quota decisions on a request, for logs.
 
-    ``config_version`` and ``config_age_s`` are of the configuration whose keys
-    decided; the version is None where callers need no keys.
+    The fields are set step by step. ``config_version`` and ``config_age_s`` are those
+    of the configuration that contains the keys; the version is None where callers need
+    no keys.
     """
 
     customer: Customer | None = None
@@ -32,27 +33,27 @@
 
 
 class CustomerGate:
-    """Names the customer of each request and counts it against the quota.
+    """Identifies the customer of each request and counts it against the quota.
 
     Parameters
     ----------
     quotas : QuotaKeeper
-        This daemon's shares.
+        This daemon's shares of the quotas.
     knowledge : callable
-        Returns how recent the configuration is, None when it was never read.
-    fresh_s : float
-        Up to what age a key that is not in the configuration is held for wrong.
+        Returns how recent the configuration is, None if it was never read.
+    max_config_age_s : float
+        Maximum age of a configuration whose lack of a key proves the key invalid.
     """
 
     def __init__(
         self,
         quotas: QuotaKeeper,
         knowledge: Callable[[], Knowledge | None],
-        fresh_s: float,
+        max_config_age_s: float,
     ) -> None:
         self.quotas = quotas
         self._knowledge = knowledge
-        self._fresh_s = fresh_s
+        self._max_config_age_s = max_config_age_s
 
     def identify(
         self,
@@ -62,16 +63,16 @@
         *,
         is_anonymous: bool,
     ) -> None:
-        """Find the customer who holds the caller's key.
+        """Find the customer to whom the caller's key belongs.
 
-        ``keys`` is None where the configuration declares no customers. On a route
-        that is anonymous a key is not needed, and one that nobody holds is ignored.
+        ``keys`` is None where the configuration declares no customers. An anonymous
+        route needs no key and ignores an unknown one.
 
         Raises
         ------
         Refusal
-            Nobody holds the key: 401 when that is known, 503 when this daemon's
-            configuration is too old to say so, since the key may be newer.
+            The key is unknown: 401 if the configuration is recent, 503 if it is so old
+            that the key may be newer.
         """
         if keys is None:
             return
@@ -81,8 +82,8 @@
             admission.config_age_s = knowledge.age_s
         if admission.customer is not None or is_anonymous:
             return
-        if knowledge is None or knowledge.age_s > self._fresh_s:
-            raise unavailable("keys are not known for sure", STALE_RETRY_S)
+        if knowledge is None or knowledge.age_s > self._max_config_age_s:
+            raise unavailable("keys are not known for sure", STALE_CONFIG_RETRY_S)
         raise unauthorized()
 
     async def async_admit(self, admission: Admission, tokens: int | None) -> None:
@@ -101,13 +102,13 @@
             raise over_quota(admission.decision.back_in_s)
 
     def give_back(self, admission: Admission) -> None:
-        """Uncount a request that has not run, once."""
+        """Refund the cost of a request that has not run, at most once."""
         decision, admission.decision = admission.decision, UNLIMITED
         if decision.verdict in (QuotaVerdict.OWN, QuotaVerdict.LENT):
             self.quotas.give_back(admission.customer, decision.cost)
 
     def charge_again(self, admission: Admission) -> None:
-        """Count a request that is sent once more though it may have run."""
+        """Charge a request that is sent again although it may have run."""
         if admission.customer is not None:
             cost = admission.decision.cost
             self.quotas.charge_again(admission.customer, cost)
--- a/chutelink/customers/holders.py
+++ b/chutelink/customers/holders.py
@@ -1,4 +1,4 @@
-"""Which daemons share quotas, so that all shares together are at most the whole."""
+"""The daemons that share quotas; all shares together are at most the whole quota."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from ..systems.hashing import rendezvous_order
 from ..tables.members import MemberState, MemberTable
 from .const import (
-    HOLDER_KEPT_S,
-    HOLDER_PROVED_S,
+    HOLDER_RETENTION_S,
     MAX_HOLDERS,
+    MIN_HOLDER_UPTIME_S,
     MIN_HOLDERS,
     SETTLE_S,
 )
 
 
 class HolderView(msgspec.Struct, frozen=True):
-    """The holders as one daemon knows them; it counts at least ``least`` of them.
+    """The holders as one daemon knows them; it assumes at least ``least`` of them.
 
-    Each customer's quota is held by so few of them that one share is larger than most
-    requests: else a request that is larger than a share meets too few that can lend.
+    Only a few of them hold each customer's quota, so that one share is larger than most
+    requests. Otherwise a request that is larger than a share finds too few lenders.
     """
 
     own: DaemonId
@@ -41,59 +41,59 @@
         return 1.0 / max(self.least, len(holders))
 
 
-class _Served(msgspec.Struct):
-    """Since when a daemon serves without a break, and when it was last seen to."""
+class _ServingPeriod(msgspec.Struct):
+    """Start and last observation of a daemon's uninterrupted serving."""
 
     since_s: float
     last_s: float
 
-    def is_kept(self, now_s: float) -> bool:
-        """Return whether the share of one that serves no more stays reserved."""
-        if self.last_s - self.since_s < HOLDER_PROVED_S:
+    def is_reserved(self, now_s: float) -> bool:
+        """Return whether the share stays reserved after the daemon stops serving."""
+        if self.last_s - self.since_s < MIN_HOLDER_UPTIME_S:
             return False
-        return now_s - self.last_s <= HOLDER_KEPT_S
+        return now_s - self.last_s <= HOLDER_RETENTION_S
 
 
-class Holders:
-    """The daemons that may let requests through, as far as this one knows.
+class QuotaHolders:
+    """The daemons that may admit requests, as far as this daemon knows.
 
-    A daemon that others can't reach may be cut off from them only and go on serving:
-    its share stays reserved for a while, unless it said that it has left. Guards
-    against both halves of a fleet that is cut in two using the whole quota.
+    An unreachable daemon may be disconnected only from the other daemons and continue
+    to serve: its share stays reserved for a while, unless it announced that it left.
+    This prevents that both halves of a partitioned fleet use the whole quota.
 
     Parameters
     ----------
     own : DaemonId
         This daemon.
     started_s : float
-        When it started.
+        Start time of this daemon.
     """
 
     def __init__(self, own: DaemonId, started_s: float) -> None:
         self._own = own
         self._started_s = started_s
-        self._served: dict[DaemonId, _Served] = {}
-        self._has_met = False
+        self._served: dict[DaemonId, _ServingPeriod] = {}
+        self._has_seen_others = False
         self.expected: int | None = None
-        """How many would serve if all lived that the store lists, None if unknown."""
+        """Number that would serve if all in the store were alive, None if unknown."""
 
     def update(
         self, serving: set[DaemonId], members: MemberTable, now_s: float
     ) -> None:
-        """Take in which daemons serve, and which have left for good."""
-        self._has_met |= len(members.rows) > 1
+        """Update which daemons serve, and remove those that have left."""
+        self._has_seen_others |= len(members.rows) > 1
         for daemon in serving:
-            served = self._served.setdefault(daemon, _Served(now_s, now_s))
+            served = self._served.setdefault(daemon, _ServingPeriod(now_s, now_s))
             served.last_s = now_s
         for daemon, served in list(self._served.items()):
             member = members.rows.get(daemon)
             has_left = member is not None and member.state is MemberState.LEFT
-            is_kept = daemon in serving or served.is_kept(now_s)
-            if has_left or not is_kept:
+            is_reserved = daemon in serving or served.is_reserved(now_s)
+            if has_left or not is_reserved:
                 del self._served[daemon]
 
     def view(self, now_s: float) -> HolderView:
-        """Return who holds shares now, as this daemon knows it."""
+        """Return the current holders as this daemon knows them."""
         least = 0
         if not self._is_settled(now_s):
             expected = MIN_HOLDERS if self.expected is None else self.expected
@@ -101,7 +101,7 @@
         return HolderView(self._own, frozenset(self._served), least)
 
     def _is_settled(self, now_s: float) -> bool:
-        """Return whether the others are known, or it is known that there are none."""
+        """Return whether the other daemons are known, or that there are none."""
         if now_s - self._started_s < SETTLE_S:
             return False
-        return self._has_met or self.expected == 1
+        return self._has_seen_others or self.expected == 1
--- a/chutelink/customers/keys.py
+++ b/chutelink/customers/keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: how they are sent, hashed and looked up. Pure."""
+"""Extraction, hashing and lookup of callers' keys. Pure."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from ..ids import KeyHash
 
 HEADER_KEY = "Authorization"
-SCHEME = "bearer"
+AUTH_SCHEME = "bearer"
 
-HolderT = TypeVar("HolderT")
+OwnerT = TypeVar("OwnerT")
 
 
 def hash_key(key: str) -> KeyHash:
-    """Return the hash by which a key is known; the key itself is never kept."""
+    """Return the hash that identifies a key; the key itself is never stored."""
     return KeyHash(hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest())
 
 
 def bearer_key(headers: CIMultiDictProxy[str]) -> str | None:
-    """Return the key that a request bears, None for none.
+    """Return the bearer key of a request, None if there is none.
 
-    Two different keys are none: nobody could tell whose the request is.
+    Two different keys count as none, since the request's owner would be ambiguous.
     """
     values = set(headers.getall(HEADER_KEY, ()))
     if len(values) != 1:
         return None
     scheme, _, key = values.pop().strip().partition(" ")
     key = key.strip()
-    return key if scheme.lower() == SCHEME and key else None
+    return key if scheme.lower() == AUTH_SCHEME and key else None
 
 
-class KeyIndex(Generic[HolderT]):
-    """Who holds which key.
+class KeyIndex(Generic[OwnerT]):
+    """Maps keys to their owners.
 
     Parameters
     ----------
-    holders : iterable
-        Hashes of keys, each with its holder.
+    owners : iterable
+        Pairs of a key's hash and its owner.
     """
 
-    def __init__(self, holders: Iterable[tuple[KeyHash, HolderT]] = ()) -> None:
-        self._by_hash: dict[KeyHash, HolderT] = dict(holders)
+    def __init__(self, owners: Iterable[tuple[KeyHash, OwnerT]] = ()) -> None:
+        self._by_hash: dict[KeyHash, OwnerT] = dict(owners)
 
-    def find(self, headers: CIMultiDictProxy[str]) -> HolderT | None:
-        """Return who holds the key that a request bears, None for nobody."""
+    def find(self, headers: CIMultiDictProxy[str]) -> OwnerT | None:
+        """Return the owner of a request's key, None if there is none."""
         key = bearer_key(headers)
         return None if key is None else self._by_hash.get(hash_key(key))
--- a/chutelink/customers/model.py
+++ b/chutelink/customers/model.py
@@ -1,4 +1,4 @@
-"""Customers and their quotas, as operators declare them."""
+"""Customers and their quotas, as configured by operators."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class QuotaUnit(Enum):
-    """What a quota counts."""
+    """Unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
 
 
 class Quota(msgspec.Struct, frozen=True):
-    """What a customer may use, over all daemons together.
+    """A customer's quota over all daemons together.
 
-    ``rate_per_s`` and ``burst`` are in the unit; ``plain_tokens`` is what a request
-    counts that says nothing of tokens.
+    ``rate_per_s`` and ``burst`` are in the unit; ``plain_tokens`` is the cost of a
+    request that states no number of tokens.
     """
 
     unit: QuotaUnit
@@ -29,14 +29,14 @@
     plain_tokens: float = 1.0
 
     def cost(self, tokens: int | None) -> float:
-        """Return what a request counts; ``tokens`` is None where it names none."""
+        """Return a request's cost; ``tokens`` is None if it states no number."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1.0
         return self.plain_tokens if tokens is None else float(max(0, tokens))
 
 
 class Customer(msgspec.Struct, frozen=True):
-    """A customer; ``priority`` goes before that of its requests' routes."""
+    """A customer; ``priority`` overrides that of its requests' routes."""
 
     name: CustomerName
     key_hashes: tuple[KeyHash, ...] = ()
--- a/chutelink/customers/news.py
+++ b/chutelink/customers/news.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other to lend parts of quotas."""
+"""Messages by which daemons lend each other parts of quotas."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LoanRequest(msgspec.Struct, frozen=True, array_like=True, tag="loan_request"):
-    """Asks for a part of a customer's quota; ``number`` names the question."""
+    """Requests a loan from a customer's quota; ``number`` identifies the request."""
 
     daemon: DaemonId
     number: int
@@ -17,7 +17,7 @@
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True, tag="loan"):
-    """What a daemon has taken off its own level for another, 0 for nothing."""
+    """The amount that a daemon deducted from its own level for another, may be 0."""
 
     daemon: DaemonId
     number: int
--- a/chutelink/customers/quotas.py
+++ b/chutelink/customers/quotas.py
@@ -1,4 +1,4 @@
-"""Decides which requests fit their customers' quotas, and lends to other daemons."""
+"""Admission of requests by their customers' quotas, with loans between daemons."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from .const import (
     ASKED_PARTS,
     LEND_PAUSE_S,
-    LEND_WAIT_S,
     LENT_SHARE,
+    LOAN_TIMEOUT_S,
     MAX_LENDERS,
 )
 from .holders import HolderView
@@ -25,21 +25,21 @@
 
 
 class QuotaVerdict(Enum):
-    """How a request's quota was decided."""
+    """Quota decision for a request."""
 
     UNLIMITED = "unlimited"
     OWN = "own"
-    """The daemon's own share had enough."""
+    """The daemon's own share was sufficient."""
     LENT = "lent"
-    """Others have lent what was missing."""
+    """Other daemons lent the missing amount."""
     OVER = "over"
 
 
 class QuotaDecision(msgspec.Struct, frozen=True):
-    """What was decided, and on what; amounts are in the unit of the quota.
+    """A quota decision and its basis; amounts are in the unit of the quota.
 
     ``level`` and ``share`` are those of this daemon after the decision;
-    ``back_in_s`` says when a caller that was refused may come back.
+    ``back_in_s`` is the retry delay of a refused caller.
     """
 
     verdict: QuotaVerdict
@@ -52,8 +52,8 @@
 UNLIMITED = QuotaDecision(QuotaVerdict.UNLIMITED)
 
 
-class _Question(msgspec.Struct, eq=False):
-    """What others are asked to lend, and what has come so far."""
+class _PendingLoan(msgspec.Struct, eq=False):
+    """A loan that was requested from others, and the amount received so far."""
 
     customer: CustomerName
     open_answers: int
@@ -63,7 +63,7 @@
 
 
 class CustomerUse(msgspec.Struct):
-    """What a customer has used at this daemon since it started."""
+    """A customer's usage at this daemon since it started."""
 
     admitted: int = 0
     admitted_amount: float = 0.0
@@ -73,14 +73,14 @@
 
 
 class QuotaKeeper:
-    """The shares that one daemon has of all quotas.
+    """Manages one daemon's shares of all quotas.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     bounds : QuotaBounds
-        How far all daemons together may go above quotas.
+        The margin by which all daemons together may exceed quotas.
     is_lending : bool
         Whether daemons lend each other parts of their shares.
     """
@@ -92,24 +92,24 @@
         self._bounds = bounds
         self._is_lending = is_lending
         self.buckets: dict[CustomerName, ShareBucket] = {}
-        self._view = HolderView(core.daemon_id, frozenset())
-        self._numbers = itertools.count(1)
-        self._questions: dict[int, _Question] = {}
-        self._ask_again_s: dict[CustomerName, float] = {}
+        self._holder_view = HolderView(core.daemon_id, frozenset())
+        self._loan_numbers = itertools.count(1)
+        self._pending_loans: dict[int, _PendingLoan] = {}
+        self._next_loan_request_s: dict[CustomerName, float] = {}
         self._has_config = False
-        self._is_afresh = False
+        self._has_start_allowance = False
         self.uses: dict[CustomerName, CustomerUse] = {}
         self.linked: Callable[[], set[DaemonId]] = set
-        """Returns the daemons that can be asked."""
+        """Returns the daemons to which there is a link."""
         self.send: Callable[[DaemonId, LoanRequest | Loan], None] = lambda to, news: (
             None
         )
 
     def sync(self, customers: dict[CustomerName, Customer]) -> None:
-        """Take the quotas in force.
+        """Apply the quotas of the configuration in force.
 
-        A customer that is new can have used nothing anywhere, so its share is full.
-        At a start nobody knows what the process before has let through.
+        A new customer can't have used anything at any daemon, so its share is full. At
+        the start of a process it is unknown what the previous process admitted.
         """
         now_s = self._core.clock()
         quotas = {name: c.quota for name, c in customers.items() if c.quota}
@@ -118,52 +118,54 @@
         for name, quota in quotas.items():
             bucket = self.buckets.get(name)
             if bucket is not None:
-                bucket.set_quota(quota, now_s)
+                bucket.update_quota(quota, now_s)
                 continue
-            bucket = ShareBucket(quota, self._bounds, self._view.own_share(name), now_s)
+            bucket = ShareBucket(
+                quota, self._bounds, self._holder_view.own_share(name), now_s
+            )
             self.buckets[name] = bucket
             if self._has_config:
                 bucket.fill()
-            elif self._is_afresh:
+            elif self._has_start_allowance:
                 bucket.start_afresh(now_s)
         self._has_config = True
 
-    def note_former(self, began_ago_s: float | None) -> None:
-        """Take in when the process before this one began, None if there was none."""
+    def note_previous_start(self, began_ago_s: float | None) -> None:
+        """Set how long ago the previous process started, None if there was none."""
         if began_ago_s is not None and began_ago_s < self._bounds.window_s:
             return
-        self._is_afresh = True
+        self._has_start_allowance = True
         now_s = self._core.clock()
         for bucket in self.buckets.values():
             bucket.start_afresh(now_s)
 
     def take_view(self, view: HolderView) -> None:
-        """Take in which daemons share quotas."""
-        if view == self._view:
+        """Update which daemons share quotas."""
+        if view == self._holder_view:
             return
-        self._view = view
+        self._holder_view = view
         holders = len(view.names)
         self._core.events.record("quota_holders", holders=holders, least=view.least)
         now_s = self._core.clock()
         for name, bucket in self.buckets.items():
-            bucket.set_share(view.own_share(name), now_s)
+            bucket.update_share(view.own_share(name), now_s)
 
     async def async_admit(
         self, customer: Customer, tokens: int | None
     ) -> QuotaDecision:
-        """Use a part of the customer's quota, or say when to come back."""
+        """Use a part of the customer's quota, or return a retry delay."""
         bucket = self.buckets.get(customer.name)
         if bucket is None or customer.quota is None:
             return UNLIMITED
         cost = customer.quota.cost(tokens)
         if bucket.take(cost, self._core.clock()):
-            return self._note(customer.name, bucket, cost, QuotaVerdict.OWN)
+            return self._record_decision(customer.name, bucket, cost, QuotaVerdict.OWN)
         if await self._async_borrow(customer.name, bucket, cost):
-            return self._note(customer.name, bucket, cost, QuotaVerdict.LENT)
-        return self._note(customer.name, bucket, cost, QuotaVerdict.OVER)
+            return self._record_decision(customer.name, bucket, cost, QuotaVerdict.LENT)
+        return self._record_decision(customer.name, bucket, cost, QuotaVerdict.OVER)
 
     def give_back(self, customer: Customer, cost: float) -> None:
-        """Return what a request was counted for that has not run."""
+        """Refund the cost of a request that has not run."""
         bucket = self.buckets.get(customer.name)
         if bucket is None or not cost:
             return
@@ -173,12 +175,12 @@
         use.admitted_amount -= cost
 
     def charge_again(self, customer: Customer, cost: float) -> None:
-        """Count a request that is sent once more and may have run before."""
+        """Charge a request that is sent again and may have run before."""
         bucket = self.buckets.get(customer.name)
         if bucket is not None:
             bucket.charge(cost, self._core.clock())
 
-    def _note(
+    def _record_decision(
         self,
         name: CustomerName,
         bucket: ShareBucket,
@@ -202,57 +204,59 @@
     async def _async_borrow(
         self, name: CustomerName, bucket: ShareBucket, cost: float
     ) -> bool:
-        """Ask others for what is missing; return whether they had enough.
+        """Borrow the missing amount from others; return whether it was sufficient.
 
-        Guards against refusing what is within a quota whose requests meet one daemon
-        more than the others: of 16 customers on 8 daemons the smallest send a request
-        in some seconds, and the largest requests are above one daemon's share.
+        Without loans, requests within a quota are refused if they reach one daemon more
+        than the others: with 16 customers on 8 daemons, the smallest customers send one
+        request in some seconds, and the largest requests exceed one daemon's share.
         """
         now_s = self._core.clock()
-        lenders = self._pick_lenders(name, now_s)
+        lenders = self._select_lenders(name, now_s)
         if not lenders:
             return False
         needed = bucket.missing(cost, now_s)
-        question = _Question(name, len(lenders), 0.0, needed, asyncio.Event())
+        pending = _PendingLoan(name, len(lenders), 0.0, needed, asyncio.Event())
         try:
-            await self._async_ask(question, lenders)
+            await self._async_request_loans(pending, lenders)
         except asyncio.CancelledError:
-            bucket.give_back(question.lent, self._core.clock())
+            bucket.give_back(pending.lent, self._core.clock())
             raise
         now_s = self._core.clock()
-        is_enough = bucket.take_with(cost, question.lent, now_s)
+        is_enough = bucket.take_with(cost, pending.lent, now_s)
         if not is_enough:
-            self._ask_again_s[name] = now_s + LEND_PAUSE_S
+            self._next_loan_request_s[name] = now_s + LEND_PAUSE_S
         return is_enough
 
-    async def _async_ask(self, question: _Question, lenders: list[DaemonId]) -> None:
-        """Ask others, and wait until they have lent enough or have answered."""
-        number = next(self._numbers)
-        self._questions[number] = question
-        # Some have less than their part, so each is asked for more than that.
-        amount = question.needed * min(1.0, ASKED_PARTS / len(lenders))
+    async def _async_request_loans(
+        self, pending: _PendingLoan, lenders: list[DaemonId]
+    ) -> None:
+        """Request loans, and wait until they are sufficient or all have answered."""
+        number = next(self._loan_numbers)
+        self._pending_loans[number] = pending
+        # Some lenders have less than an even part, so each is asked for more.
+        amount = pending.needed * min(1.0, ASKED_PARTS / len(lenders))
         own = self._core.daemon_id
-        request = LoanRequest(own, number, question.customer, amount)
+        request = LoanRequest(own, number, pending.customer, amount)
         for lender in lenders:
             self.send(lender, request)
         try:
-            async with asyncio.timeout(LEND_WAIT_S):
-                await question.is_done.wait()
+            async with asyncio.timeout(LOAN_TIMEOUT_S):
+                await pending.is_done.wait()
         except TimeoutError:
-            # Those that did not answer may be cut off; what came counts.
+            # Missing lenders may be disconnected; the loans received are used.
             self._core.metrics.quota_loans_late.inc({})
         finally:
-            del self._questions[number]
+            del self._pending_loans[number]
 
-    def _pick_lenders(self, name: CustomerName, now_s: float) -> list[DaemonId]:
-        if not self._is_lending or now_s < self._ask_again_s.get(name, 0.0):
+    def _select_lenders(self, name: CustomerName, now_s: float) -> list[DaemonId]:
+        if not self._is_lending or now_s < self._next_loan_request_s.get(name, 0.0):
             return []
-        others = self._view.holders(name) - {self._core.daemon_id}
+        others = self._holder_view.holders(name) - {self._core.daemon_id}
         lenders = sorted(others & self.linked())
         return self._core.rng.sample(lenders, min(MAX_LENDERS, len(lenders)))
 
     def take_request(self, request: LoanRequest) -> None:
-        """Lend what this daemon can spare."""
+        """Answer a loan request with the amount that this daemon can spare."""
         bucket = self.buckets.get(request.customer)
         amount = 0.0
         if bucket is not None and self._is_lending:
@@ -266,14 +270,14 @@
         self.send(request.daemon, loan)
 
     def take_loan(self, loan: Loan) -> None:
-        """Take in what another daemon lends; one that comes late fills up the share."""
-        question = self._questions.get(loan.number)
-        if question is None or question.customer != loan.customer:
+        """Add a loan to its pending request; a late one refills the share instead."""
+        pending = self._pending_loans.get(loan.number)
+        if pending is None or pending.customer != loan.customer:
             bucket = self.buckets.get(loan.customer)
             if bucket is not None:
                 bucket.give_back(max(0.0, loan.amount), self._core.clock())
             return
-        question.lent += max(0.0, loan.amount)
-        question.open_answers -= 1
-        if question.lent >= question.needed or question.open_answers <= 0:
-            question.is_done.set()
+        pending.lent += max(0.0, loan.amount)
+        pending.open_answers -= 1
+        if pending.lent >= pending.needed or pending.open_answers <= 0:
+            pending.is_done.set()
--- a/chutelink/customers/sharing.py
+++ b/chutelink/customers/sharing.py
@@ -1,4 +1,4 @@
-"""Keeps a daemon's shares of quotas in step with who serves beside it."""
+"""Updates a daemon's shares of quotas when the set of serving daemons changes."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from ..ids import CustomerName, DaemonId
 from ..tables.members import MemberTable
 from .buckets import QuotaBounds
-from .holders import Holders
+from .holders import QuotaHolders
 from .model import Customer
 from .quotas import QuotaKeeper
 
 
 class QuotaSharing:
-    """Owns the shares, and what is known of the daemons that hold the others.
+    """Owns this daemon's shares, and tracks the daemons that hold the others.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     bounds : QuotaBounds
-        How far all daemons together may go above quotas.
+        The margin by which all daemons together may exceed quotas.
     is_lending : bool
         Whether daemons lend each other parts of their shares.
     """
@@ -28,26 +28,27 @@
         self, core: Application, bounds: QuotaBounds, *, is_lending: bool
     ) -> None:
         self._core = core
-        self._holders = Holders(core.daemon_id, core.clock())
+        self._holders = QuotaHolders(core.daemon_id, core.clock())
         self.keeper = QuotaKeeper(core, bounds, is_lending=is_lending)
 
     def take_customers(self, customers: dict[CustomerName, Customer] | None) -> None:
-        """Take the customers of the configuration in force."""
+        """Apply the customers of the configuration in force."""
         self.keeper.sync(customers or {})
 
     def take_former(self, expected: int, own_began_ago_s: float | None) -> None:
-        """Take in who would serve if all lived that ever did, and when this VM did.
+        """Set the expected number of serving daemons, and this VM's previous start.
 
-        ``own_began_ago_s`` is how long ago the process before this one began.
+        ``expected`` is the number that would serve if all that ever registered were
+        alive; ``own_began_ago_s`` is how long ago this VM's previous process started.
         """
         self._holders.expected = expected
-        self.keeper.note_former(own_began_ago_s)
+        self.keeper.note_previous_start(own_began_ago_s)
         self._core.events.info(
             "former_fleet", serving=expected, began_ago_s=own_began_ago_s
         )
 
     def update(self, serving: set[DaemonId], members: MemberTable) -> None:
-        """Take in which daemons serve; called on changes and now and then."""
+        """Update which daemons serve; called on changes and periodically."""
         now_s = self._core.clock()
         self._holders.update(serving, members, now_s)
         self.keeper.take_view(self._holders.view(now_s))
--- a/chutelink/customers/web.py
+++ b/chutelink/customers/web.py
@@ -1,4 +1,4 @@
-"""What operators see of customers and their quotas at one daemon."""
+"""Operator API that lists customers and their quotas at one daemon."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class CustomerState(msgspec.Struct, frozen=True):
-    """A customer at one daemon; amounts are in its unit.
+    """A customer's state at one daemon; amounts are in the unit of its quota.
 
-    ``rate_per_s`` and ``burst`` are the whole quota, ``share`` this daemon's part of
-    it, ``level`` what it may let through now and ``capacity`` the most it saves up.
+    ``rate_per_s`` and ``burst`` are the whole quota, ``share`` this daemon's share of
+    it, ``level`` the amount that it may admit now and ``capacity`` the maximum level.
     Counts are since the daemon started.
     """
 
@@ -33,7 +33,7 @@
 
 
 class CustomerStates(msgspec.Struct, frozen=True):
-    """All customers that have a quota."""
+    """The states of all customers that have a quota."""
 
     daemon: str
     customers: list[CustomerState]
@@ -45,26 +45,26 @@
     Parameters
     ----------
     quotas : QuotaKeeper
-        What they look at.
+        Quotas that are listed.
     daemon : str
-        This daemon's name.
+        Name of this daemon.
     operator_key : str
-        Who has it may look.
+        Bearer key that authorizes operators.
     """
 
     def __init__(self, quotas: QuotaKeeper, daemon: str, operator_key: str) -> None:
         self._quotas = quotas
         self._daemon = daemon
-        self._expected = f"Bearer {operator_key}".encode()
+        self._expected_authorization = f"Bearer {operator_key}".encode()
 
     def add_routes(self, app: web.Application) -> None:
         """Add the routes."""
         app.router.add_get(PATH_CUSTOMERS, self.async_list)
 
     async def async_list(self, request: web.Request) -> web.Response:
-        """Return what each customer may use and has used here."""
+        """Return each customer's quota, share and usage at this daemon."""
         given = request.headers.get("Authorization", "")
-        if not secrets.compare_digest(given.encode(), self._expected):
+        if not secrets.compare_digest(given.encode(), self._expected_authorization):
             raise web.HTTPUnauthorized(text="operator key missing or wrong")
         states = [
             CustomerState(
--- a/chutelink/quarantine/web.py
+++ b/chutelink/quarantine/web.py
@@ -42,7 +42,7 @@
 
     def __init__(self, quarantine: Quarantine, operator_key: str) -> None:
         self._quarantine = quarantine
-        self._expected = f"Bearer {operator_key}".encode()
+        self._expected_authorization = f"Bearer {operator_key}".encode()
 
     def add_routes(self, app: web.Application) -> None:
         """Add the routes."""
@@ -51,7 +51,7 @@
 
     def _require_operator(self, request: web.Request) -> None:
         given = request.headers.get("Authorization", "")
-        if not secrets.compare_digest(given.encode(), self._expected):
+        if not secrets.compare_digest(given.encode(), self._expected_authorization):
             raise web.HTTPUnauthorized(text="operator key missing or wrong")
 
     async def async_list(self, request: web.Request) -> web.Response:
--- a/tests/customers/__init__.py
+++ b/tests/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of chutelink.quarantine."""
+"""Tests for chutelink.customers."""
--- a/tests/customers/test_buckets.py
+++ b/tests/customers/test_buckets.py
@@ -1,4 +1,4 @@
-"""One daemon's share: what it saves up, lends and says to those it refuses."""
+"""Tests for one daemon's share of a quota: level, loans and retry delays."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from chutelink.customers.buckets import QuotaBounds, ShareBucket
 from chutelink.customers.const import (
-    MAX_BACK_S,
-    SAVED_SHARE,
+    CAPACITY_SHARE,
+    MAX_RETRY_AFTER_S,
     SETTLE_S,
     START_S,
     START_SHARE,
@@ -19,7 +19,7 @@
 QUOTA = Quota(QuotaUnit.TOKENS, rate_per_s=1000.0, burst=1000.0)
 BOUNDS = QuotaBounds(window_s=8.0, excess_share=0.1, slack=0.0)
 MARGIN = 9000 * 1.1 - 8000
-CAPACITY = SAVED_SHARE * MARGIN
+CAPACITY = CAPACITY_SHARE * MARGIN
 
 
 def make_bucket(share: float = 1.0) -> ShareBucket:
@@ -28,27 +28,27 @@
     return bucket
 
 
-def test_a_new_process_has_what_it_gained_while_it_started():
+def test_new_process_starts_with_the_gain_of_its_startup_time():
     assert ShareBucket(QUOTA, BOUNDS, 0.5, 0.0).level == pytest.approx(500 * START_S)
 
 
-def test_a_process_that_follows_an_old_one_begins_with_more():
+def test_start_allowance_is_granted_once():
     bucket = ShareBucket(QUOTA, BOUNDS, 0.0, 0.0)
     bucket.start_afresh(0.01)
     assert bucket.level == 0
-    bucket.set_share(1 / 8, 0.1)
+    bucket.update_share(1 / 8, 0.1)
     start = 1000 * START_S + START_SHARE * MARGIN
     assert bucket.level == pytest.approx(min(start, CAPACITY) / 8)
     bucket.charge(bucket.level, 0.2)
-    # What was granted is granted once, whatever becomes of the share.
-    bucket.set_share(0.0, 0.2)
-    bucket.set_share(1 / 8, 0.2)
+    # The allowance is granted only once, even if the share changes.
+    bucket.update_share(0.0, 0.2)
+    bucket.update_share(1 / 8, 0.2)
     assert bucket.level == 0
-    bucket.set_share(1 / 4, SETTLE_S + 0.1)
+    bucket.update_share(1 / 4, SETTLE_S + 0.1)
     assert bucket.level <= (SETTLE_S - 0.1) * 1000 / 8 + 1
 
 
-def test_what_is_saved_up_and_gained_may_be_used():
+def test_level_and_gain_may_be_used():
     bucket = make_bucket()
     assert bucket.level == pytest.approx(CAPACITY)
     assert bucket.take(CAPACITY, 0.0)
@@ -56,13 +56,13 @@
     assert bucket.take(100, 0.11)
 
 
-def test_a_lower_quota_takes_what_is_saved_up():
+def test_lower_quota_reduces_the_level():
     bucket = make_bucket()
-    bucket.set_quota(Quota(QuotaUnit.TOKENS, 10.0, 10.0), 0.0)
-    assert bucket.level <= SAVED_SHARE * (90 * 1.1 - 80)
+    bucket.update_quota(Quota(QuotaUnit.TOKENS, 10.0, 10.0), 0.0)
+    assert bucket.level <= CAPACITY_SHARE * (90 * 1.1 - 80)
 
 
-def test_what_is_lent_is_taken_off():
+def test_loan_is_deducted_from_the_lender():
     lender, borrower = make_bucket(0.5), make_bucket(0.5)
     borrower.take(borrower.level, 0.0)
     lent = lender.lend(200, 0.5, 0.0)
@@ -72,38 +72,38 @@
     assert borrower.level == pytest.approx(50)
 
 
-def test_a_loan_that_is_not_enough_is_kept():
+def test_insufficient_loan_is_kept():
     borrower = make_bucket(0.5)
     borrower.take(borrower.level, 0.0)
     assert not borrower.take_with(500, 300, 0.0)
     assert borrower.level == pytest.approx(300)
 
 
-def test_the_largest_requests_run_too_while_a_customer_is_at_its_limit():
-    """Small requests that are sent all the time used the level up before large ones.
+def test_largest_requests_run_while_a_customer_is_at_its_limit():
+    """A steady load of small requests must not use up the level before large ones.
 
-    Four times the limit is asked for; without the wait of the small ones 0 of the
+    The load is four times the limit; if the small requests don't wait, none of the
     large ones run.
     """
     bucket = make_bucket()
-    ran = {100: 0, 500: 0}
-    asked = {100: 0, 500: 0}
+    admitted = {100: 0, 500: 0}
+    offered = {100: 0, 500: 0}
     rng = random.Random(7)
     now_s = 0.0
     for _ in range(4000):
         now_s += rng.expovariate(28.0)
         cost = rng.choices([100, 500], [4, 1])[0]
-        asked[cost] += 1
+        offered[cost] += 1
         if bucket.take(cost, now_s):
-            ran[cost] += 1
+            admitted[cost] += 1
         else:
             bucket.refuse(cost, now_s)
-    shares = {cost: ran[cost] / asked[cost] for cost in ran}
+    shares = {cost: admitted[cost] / offered[cost] for cost in admitted}
     assert shares[500] > 0.5 * shares[100]
 
 
-def test_requests_that_cost_next_to_nothing_do_not_wait_for_large_ones():
-    """Refused with 11,597 left: 200 tokens, while the customer was at its limit."""
+def test_very_small_requests_do_not_wait_for_large_ones():
+    """A request of 200 tokens was refused at the limit, with a level of 11,597."""
     bucket = make_bucket()
     for cost in (500, 10_000):
         bucket.take(cost, 0.0)
@@ -113,18 +113,18 @@
     assert not bucket.take(200, 0.0)
 
 
-def test_those_that_are_refused_come_back_one_after_the_other():
+def test_refused_requests_are_given_successive_retry_delays():
     bucket = make_bucket()
     bucket.charge(bucket.level, 0.0)
     first_s = bucket.refuse(500, 0.0)
     second_s = bucket.refuse(500, 0.0)
     assert first_s == pytest.approx(0.5)
     assert second_s == pytest.approx(1.0)
-    assert bucket.refuse(1e9, 0.0) == MAX_BACK_S
+    assert bucket.refuse(1e9, 0.0) == MAX_RETRY_AFTER_S
     assert bucket.take(500, first_s)
 
 
-def test_no_more_is_lent_than_a_part_of_what_is_there():
+def test_only_a_part_of_the_level_is_lent():
     bucket = make_bucket()
     assert bucket.lend(1e9, 0.5, 0.0) == pytest.approx(CAPACITY / 2)
     bucket.charge(2 * CAPACITY, 0.0)
--- a/tests/customers/test_keys.py
+++ b/tests/customers/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys are found by hash, however they are sent."""
+"""Tests for the extraction and lookup of callers' keys."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
         (["Bearer k1", "Bearer k2"], None),
     ],
 )
-def test_one_key_is_borne_or_none(values, key):
+def test_bearer_key_is_unique_or_none(values, key):
     assert bearer_key(headers(*values)) == key
 
 
-def test_only_hashes_are_kept():
+def test_index_stores_only_hashes():
     index = KeyIndex([(hash_key("k1"), "acme")])
     assert index.find(headers("Bearer k1")) == "acme"
     assert index.find(headers("Bearer k2")) is None
@@ -40,6 +40,6 @@
 
 
 @given(st.text())
-def test_any_text_can_be_hashed_and_is_nobodys(text):
+def test_any_text_can_be_hashed_and_is_unknown(text):
     assert len(hash_key(text)) == 64
     assert KeyIndex([(hash_key("k1"), "acme")]).find(headers(f"Bearer x{text}")) is None
--- a/tests/customers/test_quota_machine.py
+++ b/tests/customers/test_quota_machine.py
@@ -1,4 +1,4 @@
-"""Never over: whatever is asked, lent, lost, cut, killed and changed."""
+"""Stateful test that all daemons together stay within the bounds of a quota."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class QuotaMachine(RuleBasedStateMachine):
-    """Daemons with even shares; loans are on their way for any time, or are lost."""
+    """Daemons with even shares; loans are delayed by any time, or are lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
         self.down_until_s = [0.0] * DAEMONS
         self.began_s = [float("-inf")] * DAEMONS
         self.loans: list[tuple[int, float]] = []
-        self.ran: deque[tuple[float, float]] = deque()
+        self.admitted: deque[tuple[float, float]] = deque()
 
     def make_bucket(self) -> ShareBucket:
         return ShareBucket(QUOTA, BOUNDS, 1 / DAEMONS, self.now_s)
@@ -44,32 +44,32 @@
         self.now_s += seconds
 
     @rule(number=NUMBERS, cost=AMOUNTS)
-    def ask(self, number, cost):
+    def admit(self, number, cost):
         if not self.is_up(number):
             return
         bucket = self.buckets[number]
         if bucket.take(cost, self.now_s):
-            self.ran.append((self.now_s, cost))
+            self.admitted.append((self.now_s, cost))
         else:
             bucket.refuse(cost, self.now_s)
 
     @rule(cost=st.floats(20, 200), seconds=st.floats(0.0, 3.0), borrower=NUMBERS)
-    def flood(self, cost, seconds, borrower):
-        """Ask at all daemons, all the time, for much more than there is.
+    def overload(self, cost, seconds, borrower):
+        """Send far more requests to all daemons than the quota allows.
 
-        One of them asks for more than it has, so that the others lend to it.
+        One daemon needs more than its own level, so that the others lend to it.
         """
         for lender in range(DAEMONS):
             self.lend(lender, borrower, cost)
-            self.loan_arrives(cost, is_lost=False)
+            self.receive_loan(cost, is_lost=False)
         end_s = self.now_s + seconds
         while True:
             for number in range(DAEMONS):
                 while self.is_up(number) and self.buckets[number].take(
                     cost, self.now_s
                 ):
-                    self.ran.append((self.now_s, cost))
-                    self.never_over()
+                    self.admitted.append((self.now_s, cost))
+                    self.total_is_within_bounds()
             if self.now_s >= end_s:
                 return
             self.now_s += 0.1
@@ -81,18 +81,18 @@
             self.loans.append((borrower, lent))
 
     @rule(cost=AMOUNTS, is_lost=st.booleans())
-    def loan_arrives(self, cost, is_lost):
+    def receive_loan(self, cost, is_lost):
         if not self.loans:
             return
         number, lent = self.loans.pop(0)
         if is_lost or not self.is_up(number):
             return
         if self.buckets[number].take_with(cost, lent, self.now_s):
-            self.ran.append((self.now_s, cost))
+            self.admitted.append((self.now_s, cost))
 
     @rule(number=NUMBERS)
     def restart(self, number):
-        """Kill a daemon; the next process serves after START_S at the earliest."""
+        """Kill a daemon; its next process serves after at least START_S."""
         if self.is_up(number):
             self.down_until_s[number] = self.now_s + START_S
             began_s = self.down_until_s[number]
@@ -108,10 +108,10 @@
             self.restart(number)
 
     @invariant()
-    def never_over(self):
-        while self.ran and self.ran[0][0] < self.now_s - BOUNDS.window_s:
-            self.ran.popleft()
-        assert sum(cost for _, cost in self.ran) <= BOUNDS.allowed(QUOTA)
+    def total_is_within_bounds(self):
+        while self.admitted and self.admitted[0][0] < self.now_s - BOUNDS.window_s:
+            self.admitted.popleft()
+        assert sum(cost for _, cost in self.admitted) <= BOUNDS.allowed(QUOTA)
 
 
 QuotaMachine.TestCase.settings = settings(
@@ -120,14 +120,17 @@
 TestQuotas = QuotaMachine.TestCase
 
 
-def test_two_restarts_of_all_within_a_window_are_no_second_start():
-    """A part at each start would be more than is allowed; random runs miss it."""
+def test_second_restart_within_a_window_gets_no_start_allowance():
+    """A start allowance at each start would exceed the bounds.
+
+    The random runs don't find this case.
+    """
     machine = QuotaMachine()
     for _ in range(3):
-        machine.flood(cost=20.0, seconds=0.2, borrower=0)
+        machine.overload(cost=20.0, seconds=0.2, borrower=0)
         machine.restart_all()
         machine.wait(START_S)
-        machine.flood(cost=20.0, seconds=0.2, borrower=0)
-        machine.never_over()
-    machine.flood(cost=20.0, seconds=5.2, borrower=0)
-    machine.never_over()
+        machine.overload(cost=20.0, seconds=0.2, borrower=0)
+        machine.total_is_within_bounds()
+    machine.overload(cost=20.0, seconds=5.2, borrower=0)
+    machine.total_is_within_bounds()
--- a/tests/customers/test_quotas.py
+++ b/tests/customers/test_quotas.py
@@ -1,4 +1,4 @@
-"""Shares of one quota at several daemons, which lend to each other over a slow net."""
+"""Tests for shares of one quota at several daemons with loans over a slow network."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from chutelink.customers.const import LEND_WAIT_S
+from chutelink.customers.const import LOAN_TIMEOUT_S
 from chutelink.customers.holders import HolderView
 from chutelink.customers.model import Customer, Quota, QuotaUnit
 from chutelink.customers.news import Loan, LoanRequest
@@ -23,12 +23,12 @@
 
 
 class Fleet:
-    """Quota keepers that hear each other after a delay, or not at all."""
+    """Daemons' quotas, with messages that are delayed or dropped."""
 
     def __init__(self, count: int, *, is_lending: bool = True) -> None:
         loop = asyncio.get_running_loop()
         self.keepers = {}
-        self.cut: set[str] = set()
+        self.disconnected: set[str] = set()
         self.sent = 0
         names = frozenset(f"d{number}" for number in range(count))
         for number in range(count):
@@ -45,13 +45,13 @@
 
     def deliver(self, to: str, news: LoanRequest | Loan) -> None:
         self.sent += 1
-        if {to, news.daemon} & self.cut:
+        if {to, news.daemon} & self.disconnected:
             return
         keeper = self.keepers[to]
         take = keeper.take_loan if isinstance(news, Loan) else keeper.take_request
         asyncio.get_running_loop().call_later(DELAY_S, take, news)
 
-    async def async_ask(self, number: int, tokens: int | None) -> QuotaVerdict:
+    async def async_admit_at(self, number: int, tokens: int | None) -> QuotaVerdict:
         keeper = self.keepers[f"d{number}"]
         return (await keeper.async_admit(CUSTOMER, tokens)).verdict
 
@@ -62,59 +62,59 @@
         return sum(self.level(number) for number in range(len(self.keepers)))
 
 
-def test_a_request_larger_than_one_daemons_share_borrows():
-    """Refused by fixed shares though the customer has used nothing for seconds."""
+def test_request_larger_than_one_daemons_share_borrows():
+    """Fixed shares refuse it, although the customer has used nothing for seconds."""
 
     async def main():
         fleet = Fleet(8)
         before = fleet.total()
-        assert await fleet.async_ask(0, 400) is QuotaVerdict.LENT
+        assert await fleet.async_admit_at(0, 400) is QuotaVerdict.LENT
         assert before - fleet.total() >= 400
         fixed = Fleet(8, is_lending=False)
-        assert await fixed.async_ask(0, 400) is QuotaVerdict.OVER
+        assert await fixed.async_admit_at(0, 400) is QuotaVerdict.OVER
 
     run_virtually(main())
 
 
-def test_a_daemon_without_a_share_borrows_all():
+def test_daemon_without_a_share_borrows_the_whole_cost():
     async def main():
         fleet = Fleet(8)
         others = frozenset(f"d{number}" for number in range(1, 8))
         fleet.keepers["d0"].take_view(HolderView("d0", others))
-        assert await fleet.async_ask(0, 300) is QuotaVerdict.LENT
+        assert await fleet.async_admit_at(0, 300) is QuotaVerdict.LENT
 
     run_virtually(main())
 
 
-def test_a_daemon_that_is_cut_off_has_its_own_share_and_no_more():
+def test_disconnected_daemon_admits_only_its_own_share():
     async def main():
         fleet = Fleet(4)
-        fleet.cut = {"d0"}
+        fleet.disconnected = {"d0"}
         started_s = asyncio.get_running_loop().time()
-        assert await fleet.async_ask(0, 200) is QuotaVerdict.OWN
-        assert await fleet.async_ask(0, 800) is QuotaVerdict.OVER
+        assert await fleet.async_admit_at(0, 200) is QuotaVerdict.OWN
+        assert await fleet.async_admit_at(0, 800) is QuotaVerdict.OVER
         waited_s = asyncio.get_running_loop().time() - started_s
-        assert waited_s <= LEND_WAIT_S + 0.01
+        assert waited_s <= LOAN_TIMEOUT_S + 0.01
 
     run_virtually(main())
 
 
-def test_others_are_not_asked_with_each_request_over_the_quota():
+def test_loans_are_not_requested_for_each_request_over_the_quota():
     async def main():
         fleet = Fleet(8)
         for _ in range(100):
-            await fleet.async_ask(0, 5000)
-        # One question and its answers, for 100 requests within a moment.
+            await fleet.async_admit_at(0, 5000)
+        # One round of loan requests and answers for 100 simultaneous requests.
         assert fleet.sent == 14
 
     run_virtually(main())
 
 
-def test_loans_that_come_late_or_to_one_that_left_are_not_lost_twice():
+def test_late_loans_refill_the_share_and_invalid_ones_are_ignored():
     async def main():
         fleet = Fleet(4)
         keeper = fleet.keepers["d0"]
-        await fleet.async_ask(0, int(fleet.level(0)) - 1)
+        await fleet.async_admit_at(0, int(fleet.level(0)) - 1)
         level = fleet.level(0)
         keeper.take_loan(Loan("d1", 99, "acme", 40.0))
         assert fleet.level(0) == pytest.approx(level + 40, abs=1)
@@ -125,12 +125,12 @@
     run_virtually(main())
 
 
-def test_a_caller_that_leaves_while_others_are_asked_uses_nothing():
+def test_cancelled_request_returns_its_loans():
     async def main():
         fleet = Fleet(4)
-        await fleet.async_ask(0, 200)
+        await fleet.async_admit_at(0, 200)
         before = fleet.level(0)
-        task = asyncio.ensure_future(fleet.async_ask(0, 200))
+        task = asyncio.ensure_future(fleet.async_admit_at(0, 200))
         await asyncio.sleep(1.5 * DELAY_S)
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
@@ -141,7 +141,7 @@
     run_virtually(main())
 
 
-def test_what_did_not_run_is_given_back():
+def test_request_that_did_not_run_is_refunded():
     async def main():
         fleet = Fleet(1)
         keeper = fleet.keepers["d0"]
@@ -155,15 +155,15 @@
 
 
 @pytest.mark.parametrize(("tokens", "cost"), [(None, 50), (0, 0), (700, 700), (-5, 0)])
-def test_requests_count_by_their_tokens(tokens, cost):
+def test_cost_in_tokens(tokens, cost):
     assert CUSTOMER.quota.cost(tokens) == cost
 
 
-def test_requests_may_count_one_each():
+def test_cost_in_requests():
     assert Quota(QuotaUnit.REQUESTS, 1.0, 1.0).cost(700) == 1
 
 
-def test_a_customer_without_a_limit_is_never_refused():
+def test_customer_without_a_quota_is_never_refused():
     async def main():
         keeper = Fleet(1).keepers["d0"]
         free = Customer("free", ("f",))
--- a/tests/customers/test_web.py
+++ b/tests/customers/test_web.py
@@ -1,4 +1,4 @@
-"""Operators see what customers may use and have used, with the command line."""
+"""Tests for the operator command that lists customers' quotas and usage."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return f"127.0.0.1:{site._server.sockets[0].getsockname()[1]}", runner
 
 
-def test_what_customers_used_is_shown_by_daemon_and_in_sum():
+def test_usage_is_listed_per_daemon_and_in_total():
     async def async_test():
         names = frozenset({"d1", "d2"})
         daemons, runners = [], []
