--- a/chutelink/limits/__init__.py
+++ b/chutelink/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that endpoints name for the requests of all daemons together."""
+"""Rate limits that endpoints announce for the requests of all daemons together."""
--- a/chutelink/limits/const.py
+++ b/chutelink/limits/const.py
@@ -1,31 +1,32 @@
-"""How the requests to an endpoint that names a limit are spaced."""
+"""Constants for pacing the requests to endpoints that announce a limit."""
 
 from __future__ import annotations
 
 from typing import Final
 
 BURST_S: Final = 0.25
-"""Requests that may come at once, as the time in which the limit allows them.
+"""Burst size, given as the time in which the limit allows that many requests.
 
-Requests arrive at random: with strict spacing most of them would wait.
+Requests arrive at random times: with strict spacing most of them would wait.
 """
 MIN_LIMIT_PER_S: Final = 0.1
-"""What an endpoint that takes nothing still gets.
+"""Minimum rate of requests, even to an endpoint that announces a lower limit.
 
-Only an answer can lift its limit.
+Only an answer to a request can lift the limit.
 """
-IDLE_S: Final = 60.0
-"""How long the state of an endpoint is kept that nobody sends to."""
+PACER_IDLE_S: Final = 60.0
+"""How long the pacer of an endpoint is kept after the last request."""
 DOUBTFUL_S: Final = 3.0
-"""How long a limit keeps requests and loads away that others can take.
+"""How long a limit diverts requests and loads to other endpoints that can serve them.
 
-Then some are sent there again, at the rate of the limit: only an answer can lift it.
+After that some are sent to the endpoint again, at the rate of the limit, since only an
+answer can lift it.
 """
 MAX_DELAY_S: Final = 1.0
-"""Longest time that a request waits for a permit to become valid."""
-PERMIT_WAIT_S: Final = 0.08
-"""How long a daemon waits for the answer of another one: some round trips of 3 ms."""
-SILENT_PAUSE_S: Final = 0.25
-"""How long no permit is requested after one did not come in time."""
+"""Maximum time that a request waits for a permit to become valid."""
+PERMIT_TIMEOUT_S: Final = 0.08
+"""How long a daemon waits for a permit of another one: some round trips of 3 ms."""
+PERMIT_RETRY_PAUSE_S: Final = 0.25
+"""How long no permit is requested after a permit request failed or timed out."""
 MIN_BACK_S: Final = 0.2
-"""Callers are not told to come back sooner than this."""
+"""Minimum retry delay given to callers."""
--- a/chutelink/limits/model.py
+++ b/chutelink/limits/model.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of the limit of one endpoint, and what it may send there."""
+"""The limit of one endpoint as known to a daemon, and permits to send to it."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class LimitState(msgspec.Struct):
-    """The limit of one process of an endpoint, as far as a daemon knows it.
+    """The limit of one endpoint process, as known to this daemon.
 
-    ``rate_per_s`` is None where it names no limit, ``known_s`` when that was last
-    heard, ``next_send_s`` the earliest time at which another request may be sent there.
+    ``rate_per_s`` is None if the process announces no limit, ``known_s`` is when the
+    limit was last received, and ``next_send_s`` is the earliest time at which another
+    request may be sent to the endpoint.
     """
 
     rate_per_s: float | None = None
@@ -20,7 +21,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether it names a limit."""
+        """Whether the endpoint announces a limit."""
         return self.rate_per_s is not None
 
     def is_doubtful(self, now_s: float) -> bool:
@@ -28,17 +29,17 @@
         return self.is_limited and now_s - self.known_s > DOUBTFUL_S
 
     def note(self, rate_per_s: float, now_s: float) -> bool:
-        """Take in the limit that it names; return whether that changes anything."""
+        """Set the limit that the endpoint announced; return whether it changed."""
         is_changed = rate_per_s != self.rate_per_s
         self.rate_per_s = rate_per_s
         self.known_s = now_s
         return is_changed
 
     def note_none(self, sent_s: float) -> bool:
-        """Take in an answer without a limit; return whether that changes anything.
+        """Handle an answer without a limit; return whether this lifts the limit.
 
-        Only the answer to a request that was sent after the limit was known lifts it:
-        an earlier one may have been written before the limit was named.
+        Only the answer to a request that was sent after the limit was received lifts
+        it: an earlier answer may have been written before the limit was announced.
         """
         if not self.is_limited or sent_s <= self.known_s:
             return False
@@ -46,15 +47,15 @@
         return True
 
     def lift(self) -> None:
-        """Forget the limit."""
+        """Remove the limit."""
         self.rate_per_s = None
         self.next_send_s = float("-inf")
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Whether a request may be sent, after ``delay_s``.
+    """Permission to send a request after ``delay_s``, or its refusal.
 
-    Without a permit ``delay_s`` is when the next request may be sent.
+    If it is refused, ``delay_s`` is the time until the next request may be sent.
     """
 
     is_granted: bool
--- a/chutelink/limits/news.py
+++ b/chutelink/limits/news.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of the limits of endpoints."""
+"""Messages between daemons about the limits of endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EndpointLimit(msgspec.Struct, frozen=True, array_like=True):
-    """The limit that one process of an endpoint has named, None when it names none."""
+    """The limit announced by one process of an endpoint, None if there is none."""
 
     endpoint: EndpointId
     born_ms: int
--- a/chutelink/limits/pacer.py
+++ b/chutelink/limits/pacer.py
@@ -1,48 +1,57 @@
-"""Space the requests of all daemons to one endpoint. Pure."""
+"""Pacing of the requests of all daemons to one endpoint. Pure."""
 
 from __future__ import annotations
 
-from .const import BURST_S, IDLE_S, MIN_LIMIT_PER_S
+from .const import BURST_S, MIN_LIMIT_PER_S, PACER_IDLE_S
 from .model import Permit
 
 
 class Pacer:
-    """Spaces requests by the generic cell rate algorithm.
+    """Paces requests by the generic cell rate algorithm (GCRA).
 
-    It begins without any burst: what was sent before is not known.
+    The initial state allows no burst, since earlier requests are unknown.
 
     Parameters
     ----------
     limit_per_s : float
-        Requests a second that the endpoint takes.
+        Requests per second that the endpoint accepts.
     now_s : float
-        When it begins.
+        Start time of the pacer.
     """
 
     def __init__(self, limit_per_s: float, now_s: float) -> None:
         self._interval_s = 1.0 / max(MIN_LIMIT_PER_S, limit_per_s)
-        self._due_s = now_s + self._tolerance_s + self._interval_s
+        self._theoretical_arrival_s = now_s + self._tolerance_s + self._interval_s
 
     @property
     def _tolerance_s(self) -> float:
-        """How much earlier than evenly spaced a request may be sent."""
+        """How much earlier than its evenly spaced slot a request may be sent."""
         return max(0.0, BURST_S - self._interval_s)
 
     def reserve(self, limit_per_s: float, max_delay_s: float, now_s: float) -> Permit:
-        """Return when the next request may be sent, and count it if that is in time."""
+        """Return when the next request may be sent, and reserve it if that is in time.
+
+        It is in time if the delay is at most ``max_delay_s``.
+        """
         self._set_limit(limit_per_s, now_s)
-        delay_s = max(0.0, self._due_s - self._tolerance_s - now_s)
+        delay_s = max(0.0, self._theoretical_arrival_s - self._tolerance_s - now_s)
         if delay_s > max_delay_s:
             return Permit(is_granted=False, delay_s=delay_s)
-        self._due_s = max(self._due_s, now_s) + self._interval_s
+        self._theoretical_arrival_s = (
+            max(self._theoretical_arrival_s, now_s) + self._interval_s
+        )
         return Permit(is_granted=True, delay_s=delay_s)
 
     def _set_limit(self, limit_per_s: float, now_s: float) -> None:
-        """Take a new limit; as many requests as before are reserved in advance."""
-        ahead = (self._due_s - self._tolerance_s - now_s) / self._interval_s
+        """Set the limit; the number of requests reserved in advance stays the same."""
+        intervals_ahead = (
+            self._theoretical_arrival_s - self._tolerance_s - now_s
+        ) / self._interval_s
         self._interval_s = 1.0 / max(MIN_LIMIT_PER_S, limit_per_s)
-        self._due_s = now_s + self._tolerance_s + ahead * self._interval_s
+        self._theoretical_arrival_s = (
+            now_s + self._tolerance_s + intervals_ahead * self._interval_s
+        )
 
     def is_idle(self, now_s: float) -> bool:
-        """Return whether nothing was sent for so long that it may be dropped."""
-        return now_s - self._due_s > IDLE_S
+        """Return whether the pacer is unused for so long that it may be removed."""
+        return now_s - self._theoretical_arrival_s > PACER_IDLE_S
--- a/chutelink/limits/permits.py
+++ b/chutelink/limits/permits.py
@@ -1,4 +1,7 @@
-"""Permits to send to endpoints that name a limit, granted by one daemon for each."""
+"""Permits to send to endpoints that announce a limit.
+
+Each endpoint's permits are granted by one daemon.
+"""
 
 from __future__ import annotations
 
@@ -9,34 +12,34 @@
 from ..core import Application
 from ..ids import DaemonId, EndpointId, Incarnation, incarnation_of
 from ..systems.hashing import rendezvous_order
-from .const import PERMIT_WAIT_S, SILENT_PAUSE_S
+from .const import PERMIT_RETRY_PAUSE_S, PERMIT_TIMEOUT_S
 from .model import Permit
 from .news import PermitAnswer, PermitRequest
 from .pacer import Pacer
 
 
 class PermitDesk:
-    """Grants permits for the endpoints that this daemon paces.
+    """Grants permits for the endpoints that this daemon paces, and requests others.
 
-    Each endpoint is paced by one daemon of those that serve, whichever daemon its
-    requests come through. While daemons disagree on who serves, two may take it for
-    theirs.
+    Each endpoint is paced by one of the serving daemons, whichever daemon its requests
+    pass through. While daemons disagree on which of them serve, two daemons may pace
+    the same endpoint.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     """
 
     def __init__(self, core: Application) -> None:
         self._core = core
         self._pacers: dict[Incarnation, Pacer] = {}
-        self._numbers = itertools.count(1)
-        self._questions: dict[int, asyncio.Future[Permit]] = {}
+        self._request_numbers = itertools.count(1)
+        self._pending_requests: dict[int, asyncio.Future[Permit]] = {}
         self.serving: Callable[[], set[DaemonId]] = set
-        """Returns the daemons that callers may use."""
+        """Returns the daemons that serve callers."""
         self.linked: Callable[[], set[DaemonId]] = set
-        """Returns the daemons that can be asked."""
+        """Returns the daemons to which there is a link."""
         self.send: Callable[[DaemonId, PermitRequest | PermitAnswer], None] = (
             lambda to, news: None
         )
@@ -48,16 +51,21 @@
         limit_per_s: float,
         max_delay_s: float,
     ) -> Permit:
-        """Return a permit that is valid after ``max_delay_s`` at the latest."""
+        """Request a permit that becomes valid within ``max_delay_s``."""
         own = self._core.daemon_id
         request = PermitRequest(
-            own, next(self._numbers), endpoint, born_ms, limit_per_s, max_delay_s
+            own,
+            next(self._request_numbers),
+            endpoint,
+            born_ms,
+            limit_per_s,
+            max_delay_s,
         )
         pacing = self.pacing_daemon(endpoint)
         if pacing == own:
             permit = self._reserve(request)
         elif pacing in self.linked():
-            permit = await self._async_ask_peer(pacing, request)
+            permit = await self._async_request_from_peer(pacing, request)
         else:
             permit = _refuse(request)
         verdict = "granted" if permit.is_granted else "denied"
@@ -72,8 +80,9 @@
     def take_request(self, request: PermitRequest) -> None:
         """Answer another daemon's request for a permit.
 
-        Refuses for endpoints that another daemon paces: the requesting daemon does not
-        know yet which daemons serve, and the permits of two would add up.
+        The permit is refused if another daemon paces the endpoint: the requesting
+        daemon doesn't know yet which daemons serve, and the permits of two pacing
+        daemons would add up to more than the limit.
         """
         if self.pacing_daemon(request.endpoint) == self._core.daemon_id:
             permit = self._reserve(request)
@@ -85,43 +94,45 @@
         self.send(request.daemon, answer)
 
     def take_answer(self, answer: PermitAnswer) -> None:
-        """Take in an answer; a permit that comes late is lost."""
-        question = self._questions.get(answer.number)
-        if question is not None and not question.done():
-            question.set_result(Permit(answer.is_granted, answer.delay_s))
+        """Handle the answer to a permit request; a late permit is discarded."""
+        pending = self._pending_requests.get(answer.number)
+        if pending is not None and not pending.done():
+            pending.set_result(Permit(answer.is_granted, answer.delay_s))
 
     def _reserve(self, request: PermitRequest) -> Permit:
         now_s = self._core.clock()
         incarnation = incarnation_of(request.endpoint, request.born_ms)
         pacer = self._pacers.get(incarnation)
         if pacer is None:
-            self._drop_idle(now_s)
+            self._remove_idle_pacers(now_s)
             pacer = self._pacers[incarnation] = Pacer(request.limit_per_s, now_s)
         return pacer.reserve(request.limit_per_s, request.max_delay_s, now_s)
 
-    def _drop_idle(self, now_s: float) -> None:
-        """Drop what nobody sends to; most of these endpoints are gone."""
+    def _remove_idle_pacers(self, now_s: float) -> None:
+        """Remove unused pacers; most of their endpoints no longer exist."""
         for incarnation, pacer in list(self._pacers.items()):
             if pacer.is_idle(now_s):
                 del self._pacers[incarnation]
 
-    async def _async_ask_peer(self, peer: DaemonId, request: PermitRequest) -> Permit:
-        question = asyncio.get_running_loop().create_future()
-        self._questions[request.number] = question
+    async def _async_request_from_peer(
+        self, peer: DaemonId, request: PermitRequest
+    ) -> Permit:
+        pending = asyncio.get_running_loop().create_future()
+        self._pending_requests[request.number] = pending
         self.send(peer, request)
         try:
-            async with asyncio.timeout(PERMIT_WAIT_S):
-                return await question
+            async with asyncio.timeout(PERMIT_TIMEOUT_S):
+                return await pending
         except TimeoutError:
             self._core.events.warning(
                 "permit_late", endpoint=request.endpoint, peer=peer
             )
             return _refuse(request)
         finally:
-            del self._questions[request.number]
+            del self._pending_requests[request.number]
 
 
 def _refuse(request: PermitRequest) -> Permit:
-    """Return a refusal for when the time of the next permit is not known."""
-    delay_s = request.max_delay_s + SILENT_PAUSE_S
+    """Return a refusal for the case that the time of the next permit is unknown."""
+    delay_s = request.max_delay_s + PERMIT_RETRY_PAUSE_S
     return Permit(is_granted=False, delay_s=delay_s)
--- a/tests/limits/__init__.py
+++ b/tests/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of endpoints' limits."""
+"""Tests for chutelink.limits."""
--- a/tests/limits/test_pacer.py
+++ b/tests/limits/test_pacer.py
@@ -1,4 +1,4 @@
-"""Spacing of the requests to one endpoint."""
+"""Tests for the pacing of requests to one endpoint."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 @given(st.floats(0.2, 200.0), STEPS)
-def test_no_window_has_more_than_its_limit_and_a_burst(limit_per_s, steps):
+def test_no_window_exceeds_the_limit_and_a_burst(limit_per_s, steps):
     times_s = sends_s(Pacer(limit_per_s, 100.0), limit_per_s, steps)
     allowed = 1 + max(0.0, BURST_S * limit_per_s - 1) + WINDOW_S * limit_per_s
     assert most_in_window(times_s, WINDOW_S) <= allowed + 1e-6
 
 
 @given(st.floats(0.2, 200.0), st.floats(0.2, 200.0), STEPS, STEPS)
-def test_a_changed_limit_counts_from_then_on(before, after, first, second):
+def test_changed_limit_takes_effect_at_once(before, after, first, second):
     pacer = Pacer(before, 100.0)
     sends_s(pacer, before, first)
     changed_s = 100.0 + sum(pause_s for pause_s, _ in first) + MAX_DELAY_S
@@ -48,14 +48,14 @@
 
 
 @pytest.mark.parametrize("limit_per_s", [0.0, MIN_LIMIT_PER_S / 2])
-def test_an_endpoint_that_takes_nothing_gets_a_request_now_and_then(limit_per_s):
-    """Else its limit would stand for ever: only an answer can lift it."""
+def test_limit_below_the_minimum_still_allows_some_requests(limit_per_s):
+    """Otherwise the limit would stay forever, since only an answer can lift it."""
     pacer = Pacer(limit_per_s, 100.0)
     times_s = sends_s(pacer, limit_per_s, [(0.1, 0.0)] * 1000)
     assert len(times_s) == 100 * MIN_LIMIT_PER_S - 1
 
 
-def test_what_is_allowed_is_used_when_enough_is_sent():
+def test_limit_is_used_under_sufficient_load():
     pacer = Pacer(20.0, 100.0)
     times_s = sends_s(pacer, 20.0, [(0.01, 0.0)] * 1000)
     assert len(times_s) >= 0.9 * 20.0 * 10.0
--- a/tests/limits/test_permits.py
+++ b/tests/limits/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits that daemons request of each other, in virtual time."""
+"""Tests for permits that daemons request from each other, in virtual time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from chutelink.ids import DaemonId
-from chutelink.limits.const import BURST_S, PERMIT_WAIT_S, SILENT_PAUSE_S
+from chutelink.limits.const import BURST_S, PERMIT_RETRY_PAUSE_S, PERMIT_TIMEOUT_S
 from chutelink.limits.news import PermitRequest
 from chutelink.limits.permits import PermitDesk
 
@@ -20,12 +20,12 @@
 
 
 class Fleet:
-    """Desks of some daemons, with links that take a moment."""
+    """Permit desks of several daemons, connected by links with a delay."""
 
     def __init__(self, size: int) -> None:
         self.names = {DaemonId(f"d{number}") for number in range(size)}
-        self.gone: set[DaemonId] = set()
-        self.desks = {name: self._make_desk(name) for name in sorted(self.names)}
+        self.unreachable: set[DaemonId] = set()
+        self.permit_desks = {name: self._make_desk(name) for name in sorted(self.names)}
         self.sent_s: list[float] = []
 
     def _make_desk(self, name: DaemonId) -> PermitDesk:
@@ -38,21 +38,21 @@
         return desk
 
     def restart(self, name: DaemonId) -> None:
-        self.desks[name] = self._make_desk(name)
+        self.permit_desks[name] = self._make_desk(name)
 
     def _send(self, to: DaemonId, news) -> None:
-        if to in self.gone:
+        if to in self.unreachable:
             return
-        desk = self.desks[to]
+        desk = self.permit_desks[to]
         is_request = isinstance(news, PermitRequest)
         take = desk.take_request if is_request else desk.take_answer
         asyncio.get_running_loop().call_later(DELAY_S, take, news)
 
-    async def async_flood(self, name, limit_per_s, end_s, rng, max_delay_s=0.3):
+    async def async_overload(self, name, limit_per_s, end_s, rng, max_delay_s=0.3):
         loop = asyncio.get_running_loop()
         while loop.time() < end_s:
             await asyncio.sleep(rng.expovariate(20.0))
-            permit = await self.desks[name].async_ask(
+            permit = await self.permit_desks[name].async_ask(
                 "i-1", 1, limit_per_s, max_delay_s
             )
             if permit.is_granted:
@@ -62,24 +62,24 @@
         self.sent_s.append(asyncio.get_running_loop().time())
 
 
-async def async_flood_all(fleet, limit_per_s, length_s, seed):
-    end_s = asyncio.get_running_loop().time() + length_s
-    floods = (
-        fleet.async_flood(name, limit_per_s, end_s, random.Random(f"{seed} {name}"))
+async def async_overload_all(fleet, limit_per_s, duration_s, seed):
+    end_s = asyncio.get_running_loop().time() + duration_s
+    loads = (
+        fleet.async_overload(name, limit_per_s, end_s, random.Random(f"{seed} {name}"))
         for name in sorted(fleet.names)
     )
-    await asyncio.gather(*floods)
+    await asyncio.gather(*loads)
 
 
 @pytest.mark.parametrize("size", [1, 2, 8, 64])
 @pytest.mark.parametrize("limit_per_s", [0.5, 1.0, 7.5, 40.0])
-def test_all_daemons_together_keep_to_a_limit_and_use_it(size, limit_per_s):
+def test_all_daemons_together_respect_and_use_the_limit(size, limit_per_s):
     async def async_test():
         fleet = Fleet(size)
-        await async_flood_all(fleet, limit_per_s, 12.0, seed=size)
-        got = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
+        await async_overload_all(fleet, limit_per_s, 12.0, seed=size)
+        max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
         burst = 1 + max(0.0, BURST_S * limit_per_s - 1)
-        assert got <= limit_per_s * LIMIT_WINDOW_S + burst + 1
+        assert max_sent <= limit_per_s * LIMIT_WINDOW_S + burst + 1
         offered = min(limit_per_s, 15.0 * size)
         assert len(fleet.sent_s) >= 0.8 * offered * 12.0 - 2
 
@@ -87,67 +87,67 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_daemons_that_disagree_on_who_serves_stay_within_what_is_allowed(seed):
-    """Half of the fleet has not heard of a daemon that has just joined."""
+def test_limit_holds_while_daemons_disagree_on_serving_daemons(seed):
+    """Half of the fleet doesn't know a daemon yet that has just joined."""
 
     async def async_test():
         fleet = Fleet(8)
-        joined = fleet.desks["d0"].pacing_daemon("i-1")
+        joined = fleet.permit_desks["d0"].pacing_daemon("i-1")
         for name in sorted(fleet.names)[:4]:
-            fleet.desks[name].serving = lambda: fleet.names - {joined}
-        await async_flood_all(fleet, 1.0, 12.0, seed)
-        got = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
-        assert got <= allowed_in_window(1.0)
+            fleet.permit_desks[name].serving = lambda: fleet.names - {joined}
+        await async_overload_all(fleet, 1.0, 12.0, seed)
+        max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
+        assert max_sent <= allowed_in_window(1.0)
 
     run_virtually(async_test())
 
 
-def test_a_restart_of_the_pacing_daemon_gives_no_burst():
+def test_restart_of_the_pacing_daemon_allows_no_burst():
     async def async_test():
         fleet = Fleet(8)
-        pacing = fleet.desks["d0"].pacing_daemon("i-1")
+        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
         loop = asyncio.get_running_loop()
         for number in range(6):
             loop.call_later(1.5 + number, fleet.restart, pacing)
-        await async_flood_all(fleet, 1.0, 12.0, seed=1)
-        got = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
-        assert got <= allowed_in_window(1.0)
+        await async_overload_all(fleet, 1.0, 12.0, seed=1)
+        max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
+        assert max_sent <= allowed_in_window(1.0)
 
     run_virtually(async_test())
 
 
-def test_nothing_is_sent_while_the_pacing_daemon_is_silent():
+def test_no_permit_while_the_pacing_daemon_does_not_answer():
     async def async_test():
         fleet = Fleet(3)
-        pacing = fleet.desks["d0"].pacing_daemon("i-1")
-        asking = min(fleet.names - {pacing})
-        fleet.gone.add(pacing)
-        began_s = asyncio.get_running_loop().time()
-        permit = await fleet.desks[asking].async_ask("i-1", 1, 5.0, 0.3)
+        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        requesting = min(fleet.names - {pacing})
+        fleet.unreachable.add(pacing)
+        started_s = asyncio.get_running_loop().time()
+        permit = await fleet.permit_desks[requesting].async_ask("i-1", 1, 5.0, 0.3)
         assert not permit.is_granted
-        assert permit.delay_s == pytest.approx(0.3 + SILENT_PAUSE_S)
-        took_s = asyncio.get_running_loop().time() - began_s
-        assert took_s == pytest.approx(PERMIT_WAIT_S, abs=0.001)
+        assert permit.delay_s == pytest.approx(0.3 + PERMIT_RETRY_PAUSE_S)
+        took_s = asyncio.get_running_loop().time() - started_s
+        assert took_s == pytest.approx(PERMIT_TIMEOUT_S, abs=0.001)
 
     run_virtually(async_test())
 
 
-def test_a_daemon_that_is_not_linked_to_the_pacing_one_sends_nothing():
+def test_no_permit_without_a_link_to_the_pacing_daemon():
     async def async_test():
         fleet = Fleet(3)
-        pacing = fleet.desks["d0"].pacing_daemon("i-1")
-        asking = min(fleet.names - {pacing})
-        fleet.desks[asking].linked = set
-        permit = await fleet.desks[asking].async_ask("i-1", 1, 5.0, 0.3)
+        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        requesting = min(fleet.names - {pacing})
+        fleet.permit_desks[requesting].linked = set
+        permit = await fleet.permit_desks[requesting].async_ask("i-1", 1, 5.0, 0.3)
         assert not permit.is_granted
 
     run_virtually(async_test())
 
 
-def test_a_daemon_that_knows_of_no_other_paces_by_itself():
+def test_daemon_that_knows_no_other_paces_by_itself():
     async def async_test():
         fleet = Fleet(1)
-        desk = fleet.desks["d0"]
+        desk = fleet.permit_desks["d0"]
         desk.serving = set
         assert not (await desk.async_ask("i-1", 1, 5.0, 0.0)).is_granted
         await asyncio.sleep(1.0)
@@ -156,10 +156,10 @@
     run_virtually(async_test())
 
 
-def test_another_process_of_an_endpoint_is_paced_anew():
+def test_new_process_of_an_endpoint_gets_a_new_pacer():
     async def async_test():
         fleet = Fleet(1)
-        desk = fleet.desks["d0"]
+        desk = fleet.permit_desks["d0"]
         for _ in range(3):
             assert (await desk.async_ask("i-1", 1, 5.0, 1.0)).is_granted
         permit = await desk.async_ask("i-1", 2, 5.0, 1.0)
@@ -168,10 +168,10 @@
     run_virtually(async_test())
 
 
-def test_daemons_that_know_of_a_restart_and_others_get_no_more_permits_together():
+def test_limit_holds_while_daemons_disagree_on_a_restart():
     async def async_test():
         fleet = Fleet(1)
-        desk = fleet.desks["d0"]
+        desk = fleet.permit_desks["d0"]
         granted = 0
         for number in range(200):
             await asyncio.sleep(0.02)
@@ -182,16 +182,16 @@
     run_virtually(async_test())
 
 
-def test_a_daemon_grants_no_permits_for_an_endpoint_that_another_paces():
-    """Who asks has not heard yet of a daemon that has just joined."""
+def test_no_permit_from_a_daemon_that_does_not_pace_the_endpoint():
+    """The requesting daemon doesn't know a daemon yet that has just joined."""
 
     async def async_test():
         fleet = Fleet(3)
-        pacing = fleet.desks["d0"].pacing_daemon("i-1")
-        asking, other = sorted(fleet.names - {pacing})
-        fleet.desks[asking].serving = lambda: {other}
+        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        requesting, other = sorted(fleet.names - {pacing})
+        fleet.permit_desks[requesting].serving = lambda: {other}
         for _ in range(20):
-            permit = await fleet.desks[asking].async_ask("i-1", 1, 5.0, 0.3)
+            permit = await fleet.permit_desks[requesting].async_ask("i-1", 1, 5.0, 0.3)
             assert not permit.is_granted
             await asyncio.sleep(0.1)
 
