--- a/chutelink/quarantine/service.py
+++ b/chutelink/quarantine/service.py
@@ -122,9 +122,9 @@
 
     def note_success(self, fingerprint: Fingerprint) -> None:
         """Clear a request that ran successfully, since it doesn't end endpoints."""
-        self.free(fingerprint, "ran_well")
+        self.release(fingerprint, "ran_well")
 
-    def free(self, fingerprint: Fingerprint, reason: str) -> bool:
+    def release(self, fingerprint: Fingerprint, reason: str) -> bool:
         """Clear a request at all daemons; return whether it was known."""
         if not self.clear(fingerprint, reason):
             return False
--- a/chutelink/quarantine/table.py
+++ b/chutelink/quarantine/table.py
@@ -94,7 +94,7 @@
         return self._free.pop(fingerprint, None) or self._held.pop(fingerprint, None)
 
     def _insert(self, fingerprint: Fingerprint, row: Suspect, now_s: float) -> None:
-        """Insert a row as the latest and evict the oldest; holds only evict holds."""
+        """Insert a row as the latest and evict the oldest; only holds evict holds."""
         rows = self._free if row.hold is None else self._held
         rows[fingerprint] = row
         if len(self._held) > MAX_HOLDS:
--- a/chutelink/quarantine/web.py
+++ b/chutelink/quarantine/web.py
@@ -76,6 +76,6 @@
         """Release a held request at all daemons."""
         self._require_operator(request)
         fingerprint = Fingerprint(request.match_info["fingerprint"])
-        if not self._quarantine.free(fingerprint, "operator"):
+        if not self._quarantine.release(fingerprint, "operator"):
             raise web.HTTPNotFound(text="nothing is held against it here")
         return web.Response(status=204)
--- a/tests/customers/test_quotas.py
+++ b/tests/customers/test_quotas.py
@@ -27,7 +27,7 @@
 
     def __init__(self, count: int, *, is_lending: bool = True) -> None:
         loop = asyncio.get_running_loop()
-        self.keepers = {}
+        self.managers = {}
         self.disconnected: set[str] = set()
         self.sent = 0
         names = frozenset(f"d{number}" for number in range(count))
@@ -35,31 +35,31 @@
             name = f"d{number}"
             core = make_core(name)
             core.clock = loop.time
-            keeper = make_quotas(core, is_lending=is_lending)
-            keeper.take_view(HolderView(name, names))
-            keeper.sync({})
-            keeper.sync(CUSTOMERS)
-            keeper.send = self.deliver
-            keeper.linked = lambda: set(self.keepers)
-            self.keepers[name] = keeper
+            manager = make_quotas(core, is_lending=is_lending)
+            manager.take_view(HolderView(name, names))
+            manager.sync({})
+            manager.sync(CUSTOMERS)
+            manager.send = self.deliver
+            manager.linked = lambda: set(self.managers)
+            self.managers[name] = manager
 
     def deliver(self, to: str, news: LoanRequest | Loan) -> None:
         self.sent += 1
         if {to, news.daemon} & self.disconnected:
             return
-        keeper = self.keepers[to]
-        take = keeper.take_loan if isinstance(news, Loan) else keeper.take_request
+        manager = self.managers[to]
+        take = manager.take_loan if isinstance(news, Loan) else manager.take_request
         asyncio.get_running_loop().call_later(DELAY_S, take, news)
 
     async def async_admit_at(self, number: int, tokens: int | None) -> QuotaVerdict:
-        keeper = self.keepers[f"d{number}"]
-        return (await keeper.async_admit(CUSTOMER, tokens)).verdict
+        manager = self.managers[f"d{number}"]
+        return (await manager.async_admit(CUSTOMER, tokens)).verdict
 
     def level(self, number: int) -> float:
-        return self.keepers[f"d{number}"].buckets["acme"].level
+        return self.managers[f"d{number}"].buckets["acme"].level
 
     def total(self) -> float:
-        return sum(self.level(number) for number in range(len(self.keepers)))
+        return sum(self.level(number) for number in range(len(self.managers)))
 
 
 def test_request_larger_than_one_daemons_share_borrows():
@@ -80,7 +80,7 @@
     async def main():
         fleet = Fleet(8)
         others = frozenset(f"d{number}" for number in range(1, 8))
-        fleet.keepers["d0"].take_view(HolderView("d0", others))
+        fleet.managers["d0"].take_view(HolderView("d0", others))
         assert await fleet.async_admit_at(0, 300) is QuotaVerdict.LENT
 
     run_virtually(main())
@@ -113,13 +113,13 @@
 def test_late_loans_refill_the_share_and_invalid_ones_are_ignored():
     async def main():
         fleet = Fleet(4)
-        keeper = fleet.keepers["d0"]
+        manager = fleet.managers["d0"]
         await fleet.async_admit_at(0, int(fleet.level(0)) - 1)
         level = fleet.level(0)
-        keeper.take_loan(Loan("d1", 99, "acme", 40.0))
+        manager.take_loan(Loan("d1", 99, "acme", 40.0))
         assert fleet.level(0) == pytest.approx(level + 40, abs=1)
-        keeper.take_loan(Loan("d1", 99, "nobody", 40.0))
-        keeper.take_loan(Loan("d1", 99, "acme", -1e9))
+        manager.take_loan(Loan("d1", 99, "nobody", 40.0))
+        manager.take_loan(Loan("d1", 99, "acme", -1e9))
         assert fleet.level(0) == pytest.approx(level + 40, abs=1)
 
     run_virtually(main())
@@ -144,12 +144,12 @@
 def test_request_that_did_not_run_is_refunded():
     async def main():
         fleet = Fleet(1)
-        keeper = fleet.keepers["d0"]
+        manager = fleet.managers["d0"]
         before = fleet.level(0)
-        decision = await keeper.async_admit(CUSTOMER, 500)
-        keeper.give_back(CUSTOMER, decision.cost)
+        decision = await manager.async_admit(CUSTOMER, 500)
+        manager.give_back(CUSTOMER, decision.cost)
         assert fleet.level(0) == pytest.approx(before)
-        assert keeper.uses["acme"].admitted == 0
+        assert manager.uses["acme"].admitted == 0
 
     run_virtually(main())
 
@@ -165,9 +165,9 @@
 
 def test_customer_without_a_quota_is_never_refused():
     async def main():
-        keeper = Fleet(1).keepers["d0"]
+        manager = Fleet(1).managers["d0"]
         free = Customer("free", ("f",))
-        decision = await keeper.async_admit(free, 10**9)
+        decision = await manager.async_admit(free, 10**9)
         assert decision.verdict is QuotaVerdict.UNLIMITED
 
     run_virtually(main())
--- a/tests/customers/test_web.py
+++ b/tests/customers/test_web.py
@@ -19,9 +19,9 @@
 CUSTOMER = Customer("acme", ("h",), quota=Quota(QuotaUnit.TOKENS, 1000.0, 1000.0))
 
 
-async def async_serve(name: str, keeper) -> tuple[str, web.AppRunner]:
+async def async_serve(name: str, manager) -> tuple[str, web.AppRunner]:
     app = web.Application()
-    CustomerHandlers(keeper, name, "key").add_routes(app)
+    CustomerHandlers(manager, name, "key").add_routes(app)
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -35,13 +35,13 @@
         daemons, runners = [], []
         for name in sorted(names):
             core = make_core(name)
-            keeper = make_quotas(core)
-            keeper.take_view(HolderView(name, names))
-            keeper.sync({})
-            keeper.sync({"acme": CUSTOMER})
-            await keeper.async_admit(CUSTOMER, 300)
-            await keeper.async_admit(CUSTOMER, 5000)
-            daemon, runner = await async_serve(name, keeper)
+            manager = make_quotas(core)
+            manager.take_view(HolderView(name, names))
+            manager.sync({})
+            manager.sync({"acme": CUSTOMER})
+            await manager.async_admit(CUSTOMER, 300)
+            await manager.async_admit(CUSTOMER, 5000)
+            daemon, runner = await async_serve(name, manager)
             daemons.append(daemon)
             runners.append(runner)
         async with aiohttp.ClientSession() as session:
--- a/tests/limits/test_permits.py
+++ b/tests/limits/test_permits.py
@@ -20,39 +20,39 @@
 
 
 class Fleet:
-    """Permit desks of several daemons, connected by links with a delay."""
+    """Permit managers of several daemons, connected by links with a delay."""
 
     def __init__(self, size: int) -> None:
         self.names = {DaemonId(f"d{number}") for number in range(size)}
         self.unreachable: set[DaemonId] = set()
-        self.permit_desks = {name: self._make_desk(name) for name in sorted(self.names)}
+        self.managers = {name: self._make_manager(name) for name in sorted(self.names)}
         self.sent_s: list[float] = []
 
-    def _make_desk(self, name: DaemonId) -> PermitDesk:
+    def _make_manager(self, name: DaemonId) -> PermitDesk:
         core = make_core(name)
         core.clock = asyncio.get_running_loop().time
-        desk = PermitDesk(core)
-        desk.serving = lambda: self.names
-        desk.linked = lambda: self.names - {name}
-        desk.send = self._send
-        return desk
+        manager = PermitDesk(core)
+        manager.serving = lambda: self.names
+        manager.linked = lambda: self.names - {name}
+        manager.send = self._send
+        return manager
 
     def restart(self, name: DaemonId) -> None:
-        self.permit_desks[name] = self._make_desk(name)
+        self.managers[name] = self._make_manager(name)
 
     def _send(self, to: DaemonId, news) -> None:
         if to in self.unreachable:
             return
-        desk = self.permit_desks[to]
+        manager = self.managers[to]
         is_request = isinstance(news, PermitRequest)
-        take = desk.take_request if is_request else desk.take_answer
+        take = manager.take_request if is_request else manager.take_answer
         asyncio.get_running_loop().call_later(DELAY_S, take, news)
 
     async def async_overload(self, name, limit_per_s, end_s, rng, max_delay_s=0.3):
         loop = asyncio.get_running_loop()
         while loop.time() < end_s:
             await asyncio.sleep(rng.expovariate(20.0))
-            permit = await self.permit_desks[name].async_ask(
+            permit = await self.managers[name].async_ask(
                 "i-1", 1, limit_per_s, max_delay_s
             )
             if permit.is_granted:
@@ -92,9 +92,9 @@
 
     async def async_test():
         fleet = Fleet(8)
-        joined = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        joined = fleet.managers["d0"].pacing_daemon("i-1")
         for name in sorted(fleet.names)[:4]:
-            fleet.permit_desks[name].serving = lambda: fleet.names - {joined}
+            fleet.managers[name].serving = lambda: fleet.names - {joined}
         await async_overload_all(fleet, 1.0, 12.0, seed)
         max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
         assert max_sent <= allowed_in_window(1.0)
@@ -105,7 +105,7 @@
 def test_restart_of_the_pacing_daemon_allows_no_burst():
     async def async_test():
         fleet = Fleet(8)
-        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        pacing = fleet.managers["d0"].pacing_daemon("i-1")
         loop = asyncio.get_running_loop()
         for number in range(6):
             loop.call_later(1.5 + number, fleet.restart, pacing)
@@ -119,11 +119,11 @@
 def test_no_permit_while_the_pacing_daemon_does_not_answer():
     async def async_test():
         fleet = Fleet(3)
-        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        pacing = fleet.managers["d0"].pacing_daemon("i-1")
         requesting = min(fleet.names - {pacing})
         fleet.unreachable.add(pacing)
         started_s = asyncio.get_running_loop().time()
-        permit = await fleet.permit_desks[requesting].async_ask("i-1", 1, 5.0, 0.3)
+        permit = await fleet.managers[requesting].async_ask("i-1", 1, 5.0, 0.3)
         assert not permit.is_granted
         assert permit.delay_s == pytest.approx(0.3 + PERMIT_RETRY_PAUSE_S)
         took_s = asyncio.get_running_loop().time() - started_s
@@ -135,10 +135,10 @@
 def test_no_permit_without_a_link_to_the_pacing_daemon():
     async def async_test():
         fleet = Fleet(3)
-        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        pacing = fleet.managers["d0"].pacing_daemon("i-1")
         requesting = min(fleet.names - {pacing})
-        fleet.permit_desks[requesting].linked = set
-        permit = await fleet.permit_desks[requesting].async_ask("i-1", 1, 5.0, 0.3)
+        fleet.managers[requesting].linked = set
+        permit = await fleet.managers[requesting].async_ask("i-1", 1, 5.0, 0.3)
         assert not permit.is_granted
 
     run_virtually(async_test())
@@ -147,11 +147,11 @@
 def test_daemon_that_knows_no_other_paces_by_itself():
     async def async_test():
         fleet = Fleet(1)
-        desk = fleet.permit_desks["d0"]
-        desk.serving = set
-        assert not (await desk.async_ask("i-1", 1, 5.0, 0.0)).is_granted
+        manager = fleet.managers["d0"]
+        manager.serving = set
+        assert not (await manager.async_ask("i-1", 1, 5.0, 0.0)).is_granted
         await asyncio.sleep(1.0)
-        assert (await desk.async_ask("i-1", 1, 5.0, 0.0)).is_granted
+        assert (await manager.async_ask("i-1", 1, 5.0, 0.0)).is_granted
 
     run_virtually(async_test())
 
@@ -159,10 +159,10 @@
 def test_new_process_of_an_endpoint_gets_a_new_pacer():
     async def async_test():
         fleet = Fleet(1)
-        desk = fleet.permit_desks["d0"]
+        manager = fleet.managers["d0"]
         for _ in range(3):
-            assert (await desk.async_ask("i-1", 1, 5.0, 1.0)).is_granted
-        permit = await desk.async_ask("i-1", 2, 5.0, 1.0)
+            assert (await manager.async_ask("i-1", 1, 5.0, 1.0)).is_granted
+        permit = await manager.async_ask("i-1", 2, 5.0, 1.0)
         assert permit.delay_s == pytest.approx(0.2, abs=0.001)
 
     run_virtually(async_test())
@@ -171,11 +171,11 @@
 def test_limit_holds_while_daemons_disagree_on_a_restart():
     async def async_test():
         fleet = Fleet(1)
-        desk = fleet.permit_desks["d0"]
+        manager = fleet.managers["d0"]
         granted = 0
         for number in range(200):
             await asyncio.sleep(0.02)
-            permit = await desk.async_ask("i-1", number % 2, 2.0, 0.7)
+            permit = await manager.async_ask("i-1", number % 2, 2.0, 0.7)
             granted += permit.is_granted
         assert granted <= 2 * (2.0 * 4.0 + 2)
 
@@ -187,11 +187,11 @@
 
     async def async_test():
         fleet = Fleet(3)
-        pacing = fleet.permit_desks["d0"].pacing_daemon("i-1")
+        pacing = fleet.managers["d0"].pacing_daemon("i-1")
         requesting, other = sorted(fleet.names - {pacing})
-        fleet.permit_desks[requesting].serving = lambda: {other}
+        fleet.managers[requesting].serving = lambda: {other}
         for _ in range(20):
-            permit = await fleet.permit_desks[requesting].async_ask("i-1", 1, 5.0, 0.3)
+            permit = await fleet.managers[requesting].async_ask("i-1", 1, 5.0, 0.3)
             assert not permit.is_granted
             await asyncio.sleep(0.1)
 
--- a/tests/quarantine/test_keeper.py
+++ b/tests/quarantine/test_keeper.py
@@ -34,7 +34,9 @@
         self.quarantine = Quarantine(
             self.core, FixedProbe(ProbeResult.REFUSED), unix_clock=lambda: self.unix_s
         )
-        self.keeper = QuarantineKeeper(self.core, table, self.quarantine, lambda: rank)
+        self.persistence = QuarantineKeeper(
+            self.core, table, self.quarantine, lambda: rank
+        )
 
     @property
     def verdict(self) -> Verdict:
@@ -49,7 +51,7 @@
         """Apply all rows, as the table watch does."""
         rows = (await self.table.async_read(PREFIX_HOLDS)).rows
         for row in rows:
-            self.keeper.take_row(row.key, row.value)
+            self.persistence.take_row(row.key, row.value)
 
 
 def test_stored_hold_reaches_a_daemon_that_starts_later():
@@ -57,7 +59,7 @@
         table = FakeTable()
         first, later = Daemon(table), Daemon(table)
         await first.async_break_runs(*ENDPOINTS)
-        await first.keeper.async_save_pending()
+        await first.persistence.async_save_pending()
         await later.async_read_table()
         assert later.verdict is Verdict.HELD
 
@@ -73,10 +75,10 @@
         await finder.async_break_runs(*ENDPOINTS)
         await asyncio.sleep(0.05)
         other.quarantine.take_endings(sent[0], "d0")
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         assert not (await table.async_read(PREFIX_HOLDS)).rows
         other.core.now_s += const.SAVE_RANK_DELAY_S * 3
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
@@ -88,7 +90,9 @@
         daemon = Daemon(table)
         await daemon.async_break_runs(*ENDPOINTS)
         table.is_out = True
-        task = asyncio.ensure_future(daemon.keeper._async_save_loop.fun(daemon.keeper))
+        task = asyncio.ensure_future(
+            daemon.persistence._async_save_loop.fun(daemon.persistence)
+        )
         await asyncio.sleep(0.05)
         assert daemon.verdict is Verdict.HELD
         table.is_out = False
@@ -105,12 +109,12 @@
         table = FakeTable()
         daemon, other = Daemon(table), Daemon(table)
         await daemon.async_break_runs(*ENDPOINTS)
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         await other.async_read_table()
         daemon.quarantine.note_success(BAD)
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         assert not [r for r in (await table.async_read(PREFIX_HOLDS)).rows if r.value]
-        other.keeper.take_row(KEY, None)
+        other.persistence.take_row(KEY, None)
         assert other.verdict is Verdict.FREE
 
     asyncio.run(async_test())
@@ -121,12 +125,12 @@
         table = FakeTable()
         daemons = [Daemon(table, rank) for rank in range(3)]
         await daemons[0].async_break_runs(*ENDPOINTS)
-        await daemons[0].keeper.async_save_pending()
+        await daemons[0].persistence.async_save_pending()
         for daemon in daemons:
             await daemon.async_read_table()
             daemon.unix_s = const.FIRST_HOLD_S + 1
             assert daemon.verdict is Verdict.TRIAL
-        claims = [d.keeper.async_claim_trial(BAD) for d in daemons]
+        claims = [d.persistence.async_claim_trial(BAD) for d in daemons]
         assert sum(await asyncio.gather(*claims)) == 1
         assert daemons[1].verdict is Verdict.HELD
 
@@ -140,7 +144,7 @@
         await daemon.async_break_runs(*ENDPOINTS)
         daemon.unix_s = const.FIRST_HOLD_S + 1
         table.is_out = True
-        assert not await daemon.keeper.async_claim_trial(BAD)
+        assert not await daemon.persistence.async_claim_trial(BAD)
 
     asyncio.run(async_test())
 
@@ -148,7 +152,7 @@
 def test_invalid_row_is_ignored():
     daemon = Daemon(FakeTable())
     for value in (7, "x", {"until_unix_s": "soon"}, [], {"endings": 3}):
-        daemon.keeper.take_row(KEY, value)
+        daemon.persistence.take_row(KEY, value)
     assert daemon.verdict is Verdict.FREE
 
 
@@ -162,10 +166,10 @@
             table.table.commit(Transaction(WriteId(key), (), (Write(key, hold),)))
         await daemon.async_read_table()
         for _ in range(2):
-            await daemon.keeper.async_save_pending()
+            await daemon.persistence.async_save_pending()
         rows = (await table.async_read(PREFIX_HOLDS)).rows
         assert len([row for row in rows if row.value]) == const.MAX_HOLDS
-        assert not daemon.keeper._has_pending_writes()
+        assert not daemon.persistence._has_pending_writes()
 
     asyncio.run(async_test())
 
@@ -214,11 +218,11 @@
         self.restore(copy)
         rows = {k: r for k, r in self.table.rows.items() if k.startswith(PREFIX_HOLDS)}
         for daemon in daemons:
-            daemon.keeper.note_restored(set(rows))
+            daemon.persistence.note_restored(set(rows))
             for key in before - rows.keys():
-                daemon.keeper.take_row(key, None, is_restored=True)
+                daemon.persistence.take_row(key, None, is_restored=True)
             for key, row in rows.items():
-                daemon.keeper.take_row(key, row.value, is_restored=True)
+                daemon.persistence.take_row(key, row.value, is_restored=True)
 
 
 def test_hold_missing_in_a_restored_store_is_kept_and_written_again():
@@ -229,14 +233,14 @@
         finder, other = Daemon(table), Daemon(table, rank=1)
         copy = table.copy()
         await finder.async_break_runs(*ENDPOINTS)
-        await finder.keeper.async_save_pending()
+        await finder.persistence.async_save_pending()
         await other.async_read_table()
         table.restore_and_notify(copy, other)
         assert other.verdict is Verdict.HELD
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is None
         other.core.now_s += const.SAVE_RANK_DELAY_S * 2
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
@@ -247,13 +251,13 @@
         table = RestoredTable()
         daemon = Daemon(table)
         await daemon.async_break_runs(*ENDPOINTS)
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         copy = table.copy()
         daemon.quarantine.note_success(BAD)
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         table.restore_and_notify(copy, daemon)
         assert daemon.verdict is Verdict.FREE
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is None
 
     asyncio.run(async_test())
@@ -264,16 +268,16 @@
         table = RestoredTable()
         daemon, other = Daemon(table), Daemon(table, rank=1)
         await daemon.async_break_runs(*ENDPOINTS)
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         copy = table.copy()
         daemon.unix_s = other.unix_s = const.FIRST_HOLD_S + 1.0
-        assert await daemon.keeper.async_claim_trial(BAD)
+        assert await daemon.persistence.async_claim_trial(BAD)
         await other.async_read_table()
         table.restore_and_notify(copy, daemon, other)
         assert other.verdict is Verdict.HELD
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         other.core.now_s += const.SAVE_RANK_DELAY_S * 2
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         row = (await table.async_read(PREFIX_HOLDS)).get(KEY)
         assert msgspec.convert(row.value, Hold).trials == 1
 
@@ -285,7 +289,7 @@
         table = RestoredTable()
         daemon = Daemon(table)
         await daemon.async_break_runs(*ENDPOINTS)
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         daemon.unix_s = const.FIRST_HOLD_S + 1.0
         read = table.async_read
 
@@ -295,7 +299,7 @@
             return page
 
         table.async_read = async_read
-        assert not await daemon.keeper.async_claim_trial(BAD)
+        assert not await daemon.persistence.async_claim_trial(BAD)
 
     asyncio.run(async_test())
 
@@ -307,18 +311,18 @@
         table = RestoredTable()
         finder, other = Daemon(table), Daemon(table, rank=1)
         await finder.async_break_runs(*ENDPOINTS)
-        await finder.keeper.async_save_pending()
+        await finder.persistence.async_save_pending()
         await other.async_read_table()
         row = (await table.async_read(PREFIX_HOLDS)).get(KEY)
         other.quarantine.note_success(BAD)
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         assert other.verdict is Verdict.FREE
         table.table.commit(Transaction(WriteId("w"), (), (Write(KEY, row.value),)))
         await other.async_read_table()
         assert other.verdict is Verdict.HELD
         table.restore_and_notify(table.copy(), other)
         assert other.verdict is Verdict.HELD
-        await other.keeper.async_save_pending()
+        await other.persistence.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
@@ -341,10 +345,10 @@
             return commit
 
         table.async_transact = async_transact
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         table.async_transact = transact
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is None
-        await daemon.keeper.async_save_pending()
+        await daemon.persistence.async_save_pending()
         assert (await table.async_read(PREFIX_HOLDS)).get(KEY) is not None
 
     asyncio.run(async_test())
