--- a/chutelink/quarantine/keeper.py
+++ b/chutelink/quarantine/keeper.py
@@ -58,7 +58,7 @@
         self._table = table
         self._quarantine = quarantine
         self._rank = rank
-        self._found_here: set[Fingerprint] = set()
+        self._locally_held: set[Fingerprint] = set()
         self._saved: set[Fingerprint] = set()
         self._pending_removals: set[Fingerprint] = set()
         self._cleared: dict[Fingerprint, None] = {}
@@ -73,13 +73,13 @@
         quarantine.async_claim_trial = self.async_claim_trial
 
     def _note_held(self, fingerprint: Fingerprint) -> None:
-        self._found_here.add(fingerprint)
+        self._locally_held.add(fingerprint)
         self._cleared.pop(fingerprint, None)
         self._pending_removals.discard(fingerprint)
         self._changed.set()
 
     def _note_cleared(self, fingerprint: Fingerprint) -> None:
-        self._found_here.discard(fingerprint)
+        self._locally_held.discard(fingerprint)
         self._remember_cleared(fingerprint)
         if fingerprint in self._saved:
             self._pending_removals.add(fingerprint)
@@ -189,7 +189,7 @@
         self._pending_removals.difference_update(removed)
         self._saved.difference_update(removed)
         self._saved.update(unsaved)
-        self._found_here.difference_update(unsaved)
+        self._locally_held.difference_update(unsaved)
 
     def _evicted(self) -> list[Fingerprint]:
         """Return the stored holds that were evicted; one daemon removes the rows."""
@@ -210,7 +210,7 @@
                 continue
             held_s = self._quarantine.table.get(fingerprint).held_s
             waited_s = now_s - max(held_s, self._restored_s)
-            if fingerprint in self._found_here or waited_s >= late_s:
+            if fingerprint in self._locally_held or waited_s >= late_s:
                 found.append(fingerprint)
         return found
 
--- a/tests/quarantine/test_endinglog.py
+++ b/tests/quarantine/test_endinglog.py
@@ -11,12 +11,14 @@
 
 from .test_service import BAD, run
 
-I1 = EndpointId("i-1")
-MS = 0.001
+ENDPOINT = EndpointId("i-1")
+MS_TO_S = 0.001
 
 
 def make_run(sent_s: float, *, born_ms: int = 1, is_new: bool = True) -> BrokenRun:
-    return BrokenRun(Fingerprint("f"), "GET a/b", I1, born_ms, "x:1", sent_s, is_new)
+    return BrokenRun(
+        Fingerprint("f"), "GET a/b", ENDPOINT, born_ms, "x:1", sent_s, is_new
+    )
 
 
 def test_run_on_new_connection_after_ending_has_another_ending():
@@ -58,7 +60,7 @@
         now_ms = end_ms + late_ms + 1
         for _ in range(runs):
             sent_ms = data.draw(st.integers(born_ms, end_ms - 1))
-            broken.append((process, make_run(sent_ms * MS), now_ms * MS))
+            broken.append((process, make_run(sent_ms * MS_TO_S), now_ms * MS_TO_S))
         now_ms += 1
     log = EndingLog()
     endings_by_process = {}
@@ -76,10 +78,14 @@
     async def async_test(quarantine, core, probe):
         core.now_s += 1.0
         sent_s = core.now_s - 0.1
-        broken = BrokenRun(BAD, "GET a/b", I1, 1, "x:1", sent_s)
+        broken = BrokenRun(BAD, "GET a/b", ENDPOINT, 1, "x:1", sent_s)
         await quarantine.async_note_broken(broken)
         core.now_s += 0.05
-        endings = [Ending(I1, 2, 2), Ending(I1, 2, 2), Ending(I1, 1, 1)]
+        endings = [
+            Ending(ENDPOINT, 2, 2),
+            Ending(ENDPOINT, 2, 2),
+            Ending(ENDPOINT, 1, 1),
+        ]
         resolved = [
             quarantine._endings.resolve(ending, core.now_s, core.now_s)
             for ending in endings
@@ -92,13 +98,13 @@
 def test_daemons_that_know_different_starts_agree_on_an_ending():
     log = EndingLog()
     own = log.identify(make_run(1.0), 1.1)
-    assert log.resolve(Ending(I1, 7), 1.12, 1.13) == own
-    assert log.resolve(Ending(I1, 7), 3.0, 3.0) != own
+    assert log.resolve(Ending(ENDPOINT, 7), 1.12, 1.13) == own
+    assert log.resolve(Ending(ENDPOINT, 7), 3.0, 3.0) != own
 
 
 def test_run_sent_after_a_late_reported_ending_has_another_ending():
     """The other daemon reports how long ago it detected the ending."""
     log = EndingLog()
-    told = log.resolve(Ending(I1, 1), 1.1, 3.0)
-    assert log.identify(make_run(2.0), 3.1) != told
-    assert log.identify(make_run(1.0), 1.3) == told
+    reported = log.resolve(Ending(ENDPOINT, 1), 1.1, 3.0)
+    assert log.identify(make_run(2.0), 3.1) != reported
+    assert log.identify(make_run(1.0), 1.3) == reported
