--- a/chutelink/placing/adapters.py
+++ b/chutelink/placing/adapter_planner.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from ..ids import AdapterName, EndpointId, ModelName
+from .capacity import used_mb
 from .changes import Change, PlacementView, Site
-from .holdings import Holdings
-from .room import used_mb
+from .residency import ModelResidency
 
 ADAPTER_IDLE_S = 0.25
 """An adapter asked for since may be in use: daemons tell theirs every 0.2 s."""
 
 
-class AdapterRound:
+class AdapterPlanner:
     """Decides on adapters; endpoints that get a change are taken out of ``free``.
 
     Parameters
@@ -28,15 +28,15 @@
         self,
         view: PlacementView,
         free: dict[EndpointId, Site],
-        holdings: Holdings,
+        residency: ModelResidency,
     ) -> None:
         self._view = view
         self._free = free
-        self._holdings = holdings
+        self._residency = residency
 
-    def make_resident(self, model: ModelName, adapter: AdapterName) -> Change | None:
+    def ensure_resident(self, model: ModelName, adapter: AdapterName) -> Change | None:
         """Return the load of an adapter where its model is, if none is there yet."""
-        if self._holdings.is_loading(model, adapter):
+        if self._residency.is_loading(model, adapter):
             return None
         if any(site.inventory.has(model, adapter) for site in self._view.sites):
             return None
@@ -48,9 +48,9 @@
             if option is not None
         ]
         best = min(options, key=self._cost, default=None)
-        return None if best is None else self._take(best)
+        return None if best is None else self._commit(best)
 
-    def add(self, model: ModelName) -> list[Change]:
+    def add_missing(self, model: ModelName) -> list[Change]:
         """Use free places for adapters of a busy model that are nowhere yet."""
         missing = self._missing(model)
         changes = []
@@ -59,7 +59,7 @@
                 continue
             change = self._change(site, model, missing[0])
             if change is not None and not change.unload_adapters:
-                changes.append(self._take(change))
+                changes.append(self._commit(change))
                 missing.pop(0)
         return changes
 
@@ -68,7 +68,7 @@
         return [
             adapter
             for adapter in self._view.engine.models[model].adapters
-            if not self._holdings.is_loading(model, adapter)
+            if not self._residency.is_loading(model, adapter)
             and not any(s.inventory.has(model, adapter) for s in self._view.sites)
         ]
 
@@ -83,20 +83,20 @@
         free_mb = self._view.engine.weights_mb - used_mb(inventory, self._view.engine)
         has_place = inventory.adapters < self._view.engine.adapter_slots
         if not has_place or free_mb < spec.adapter_mb:
-            idle = self._idle(site)
-            if not idle:
+            evictable = self._evictable(site)
+            if not evictable:
                 return None
-            unload = (idle[0],)
+            unload = (evictable[0],)
         return Change(inventory.endpoint, model, adapter, unload_adapters=unload)
 
-    def _idle(self, site: Site) -> list[tuple[ModelName, AdapterName]]:
+    def _evictable(self, site: Site) -> list[tuple[ModelName, AdapterName]]:
         """Return the adapters that may give way, the longest unused first.
 
         One that requests wait for stays: it may have been loaded just now, for them.
         """
         demand, now_s = self._view.demand, self._view.now_s
         waiting = demand.waiting(now_s)
-        idle = [
+        evictable = [
             (demand.adapter_arrival_s(model, adapter), model, adapter)
             for model, adapters in site.inventory.models.items()
             for adapter in adapters
@@ -104,12 +104,12 @@
             and not site.endpoint.running_adapter(model, adapter)
             and now_s - demand.adapter_arrival_s(model, adapter) > ADAPTER_IDLE_S
         ]
-        return [(model, adapter) for _, model, adapter in sorted(idle)]
+        return [(model, adapter) for _, model, adapter in sorted(evictable)]
 
     def _cost(self, change: Change) -> tuple[int, int]:
         site = self._free[change.endpoint]
         return len(change.unload_adapters), site.endpoint.total_requests
 
-    def _take(self, change: Change) -> Change:
-        self._holdings.take(change, self._free.pop(change.endpoint))
+    def _commit(self, change: Change) -> Change:
+        self._residency.apply(change, self._free.pop(change.endpoint))
         return change
--- a/chutelink/placing/announcer.py
+++ b/chutelink/placing/announcer.py
@@ -18,7 +18,7 @@
 
 ANNOUNCE_PERIOD_S = 0.4
 """The holder's sign of life; three are missed before others look at the lease."""
-TELL_ALL_PERIOD_S = 5.0
+FULL_ANNOUNCE_PERIOD_S = 5.0
 """How often everything is told again, for daemons that have just started."""
 
 
@@ -44,13 +44,13 @@
         self._core = core
         self._table = table
         self._send = send
-        self._told: dict[EndpointId, EndpointPlacement] = {}
-        self._told_all_s = float("-inf")
-        self._beacon_s = float("-inf")
+        self._announced: dict[EndpointId, EndpointPlacement] = {}
+        self._full_announced_s = float("-inf")
+        self._beacon_sent_s = float("-inf")
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Tell everything next: others may have told something else since."""
-        self._told.clear()
+        self._announced.clear()
 
     def announce(
         self,
@@ -64,16 +64,16 @@
         daemon = self._core.daemon_id
         placements = self._changed(inventories)
         self._send(PlacementNews(daemon, term, placements, loads, queued))
-        if now_s - self._beacon_s >= ANNOUNCE_PERIOD_S:
-            self._beacon_s = now_s
+        if now_s - self._beacon_sent_s >= ANNOUNCE_PERIOD_S:
+            self._beacon_sent_s = now_s
             self._send(PlacerBeacon(daemon, term))
 
     def _changed(self, inventories: Iterable[Inventory]) -> list[EndpointPlacement]:
         """Return what endpoints hold, as far as it was not told lately."""
         now_s = self._core.clock()
-        if now_s - self._told_all_s >= TELL_ALL_PERIOD_S:
-            self._told_all_s = now_s
-            self._told.clear()
+        if now_s - self._full_announced_s >= FULL_ANNOUNCE_PERIOD_S:
+            self._full_announced_s = now_s
+            self._announced.clear()
         changed = []
         for inventory in inventories:
             row = self._table.rows.get(inventory.endpoint)
@@ -87,7 +87,7 @@
             placement = EndpointPlacement(
                 inventory.endpoint, row.sequence, models, row.record.born_ms
             )
-            if self._told.get(inventory.endpoint) != placement:
-                self._told[inventory.endpoint] = placement
+            if self._announced.get(inventory.endpoint) != placement:
+                self._announced[inventory.endpoint] = placement
                 changed.append(placement)
         return changed
--- a/chutelink/placing/room.py
+++ b/chutelink/placing/capacity.py
@@ -50,7 +50,7 @@
     return lost
 
 
-def has_room(
+def fits(
     inventory: Inventory, engine: EngineSpec, model: ModelName, adapter: AdapterName
 ) -> bool:
     """Return whether an endpoint can hold a model or adapter beside what it has."""
--- a/chutelink/placing/board.py
+++ b/chutelink/placing/change_tracker.py
@@ -12,7 +12,7 @@
 from .inventory import Inventory
 
 
-class LoadBoard:
+class ChangeTracker:
     """Keeps the changes and the forecast of the placer, with their expected times.
 
     Parameters
@@ -24,12 +24,12 @@
     def __init__(self, announced: PendingTable) -> None:
         self._announced = announced
         self._changes: dict[EndpointId, tuple[Change, float]] = {}
-        self._queued_s: dict[ServiceName, dict[ModelName, float]] = {}
+        self._queued_ready_s: dict[ServiceName, dict[ModelName, float]] = {}
 
     def clear(self) -> None:
         """Forget what an earlier term had ordered."""
         self._changes.clear()
-        self._queued_s.clear()
+        self._queued_ready_s.clear()
 
     def begin(self, change: Change, ready_s: float) -> None:
         """Note a change that an endpoint carries out until about ``ready_s``."""
@@ -40,11 +40,11 @@
         if self._changes.get(change.endpoint, (None,))[0] is change:
             del self._changes[change.endpoint]
 
-    def set_queue(
+    def set_queued(
         self, service: ServiceName, forecast_s: Mapping[ModelName, float], now_s: float
     ) -> None:
         """Replace the forecast for a service, in seconds from now."""
-        self._queued_s[service] = {
+        self._queued_ready_s[service] = {
             model: now_s + ready_in_s for model, ready_in_s in forecast_s.items()
         }
 
@@ -92,6 +92,6 @@
         """Return the forecast of queued loads, as it is announced."""
         return [
             QueuedLoad(model, max(0.0, ready_s - now_s))
-            for forecast in self._queued_s.values()
+            for forecast in self._queued_ready_s.values()
             for model, ready_s in forecast.items()
         ]
--- a/chutelink/placing/changes.py
+++ b/chutelink/placing/changes.py
@@ -25,7 +25,7 @@
     """No endpoint keeps a copy of the weights, so that a load would be a cold one."""
 
 
-class Decline(Enum):
+class DeclineReason(Enum):
     """Why a model that requests wait for is not loaded now."""
 
     NO_FREE_ENDPOINT = "no_free_endpoint"
--- a/chutelink/placing/pace.py
+++ b/chutelink/placing/cold_load_limiter.py
@@ -8,15 +8,15 @@
 from ..entry.pending import PendingTable
 from ..ids import ServiceName
 
-WINDOW_SLACK = 3.0
+BURST_ALLOWANCE = 3.0
 """Loads in a window that the operators allow beyond the rate."""
-RESERVE = 1
+LATE_START_ALLOWANCE = 1
 """Loads that are left to doubt: one may begin later than it was sent."""
-WINDOW_MARGIN_S = 0.5
+LATE_START_MARGIN_S = 0.5
 """How much later than it was sent a load may begin."""
 
 
-class ColdLoadPace:
+class ColdLoadLimiter:
     """Counts the loads of a sliding window, so that many may begin at once.
 
     After the loss of an endpoint all its models are needed together; a rate without
@@ -33,27 +33,27 @@
     """
 
     def __init__(self, loads_per_s: float, window_s: float, excess: float) -> None:
-        allowed = loads_per_s * window_s * excess + WINDOW_SLACK
-        self._limit = max(1, int(allowed) - RESERVE)
-        self._window_s = window_s + WINDOW_MARGIN_S
-        self._begun_s: deque[float] = deque()
+        allowed = loads_per_s * window_s * excess + BURST_ALLOWANCE
+        self._limit = max(1, int(allowed) - LATE_START_ALLOWANCE)
+        self._window_s = window_s + LATE_START_MARGIN_S
+        self._started_s: deque[float] = deque()
 
     def assume_full(self, at_s: float) -> None:
         """Take it that a former holder, of whom nothing is known, used it all."""
-        self._begun_s.extend([at_s] * self._limit)
+        self._started_s.extend([at_s] * self._limit)
 
     def available(self, now_s: float) -> int:
         """Return how many loads may begin now."""
-        while self._begun_s and now_s - self._begun_s[0] > self._window_s:
-            self._begun_s.popleft()
-        return max(0, self._limit - len(self._begun_s))
+        while self._started_s and now_s - self._started_s[0] > self._window_s:
+            self._started_s.popleft()
+        return max(0, self._limit - len(self._started_s))
 
-    def take(self, now_s: float) -> None:
+    def record_start(self, now_s: float) -> None:
         """Count one that begins, or began; the oldest first."""
-        self._begun_s.append(now_s)
+        self._started_s.append(now_s)
 
 
-class ColdLoadPaces:
+class ColdLoadLimiters:
     """One pace for each service, over the terms of placers.
 
     Parameters
@@ -73,7 +73,7 @@
         self._core = core
         self._pending = pending
         self._created_s = core.clock()
-        self._by_service: dict[ServiceName, ColdLoadPace] = {}
+        self._by_service: dict[ServiceName, ColdLoadLimiter] = {}
         self.window_s = 5.0
         self.excess = 1.0
 
@@ -83,21 +83,21 @@
 
     def get(
         self, service: ServiceName, loads_per_s: float, *, is_first_term: bool
-    ) -> ColdLoadPace:
+    ) -> ColdLoadLimiter:
         """Return a service's pace; before the first term there was no holder."""
-        pace = self._by_service.get(service)
-        if pace is None:
-            pace = ColdLoadPace(loads_per_s, self.window_s, self.excess)
+        limiter = self._by_service.get(service)
+        if limiter is None:
+            limiter = ColdLoadLimiter(loads_per_s, self.window_s, self.excess)
             if not is_first_term:
-                self._count_former_loads(pace)
-            self._by_service[service] = pace
-        return pace
+                self._count_earlier_loads(limiter)
+            self._by_service[service] = limiter
+        return limiter
 
-    def _count_former_loads(self, pace: ColdLoadPace) -> None:
+    def _count_earlier_loads(self, limiter: ColdLoadLimiter) -> None:
         """Count the loads that a former holder began, as far as they may matter."""
-        is_heard = self._core.clock() - self._created_s > self.window_s
-        if not is_heard:
-            pace.assume_full(self._created_s)
+        has_full_window = self._core.clock() - self._created_s > self.window_s
+        if not has_full_window:
+            limiter.assume_full(self._created_s)
             return
-        for begun_s in self._pending.cold_begun_s():
-            pace.take(begun_s)
+        for started_s in self._pending.cold_begun_s():
+            limiter.record_start(started_s)
--- a/chutelink/placing/declined.py
+++ b/chutelink/placing/decline_log.py
@@ -7,10 +7,10 @@
 
 from ..core import Application
 from ..ids import ModelName
-from .changes import Decline, PlacementView
-from .holdings import Kept
+from .changes import DeclineReason, PlacementView
+from .residency import RetainReason
 
-PERIOD_S = 1.0
+LOG_PERIOD_S = 1.0
 """How often it is told of one model; plans are made up to 20 times a second."""
 
 
@@ -25,21 +25,21 @@
 
     def __init__(self, core: Application) -> None:
         self._core = core
-        self._told_s: dict[ModelName, float] = {}
+        self._logged_s: dict[ModelName, float] = {}
 
     def note(
         self,
         view: PlacementView,
-        declined: dict[ModelName, Decline],
-        kept: Counter[Kept],
+        declined: dict[ModelName, DeclineReason],
+        retained: Counter[RetainReason],
     ) -> None:
         """Log the reasons of one plan for models that requests wait for."""
         waiting = {model for model, _ in view.demand.waiting(view.now_s)}
         for model, reason in declined.items():
-            last_s = self._told_s.get(model, -math.inf)
-            if model not in waiting or view.now_s - last_s < PERIOD_S:
+            last_s = self._logged_s.get(model, -math.inf)
+            if model not in waiting or view.now_s - last_s < LOG_PERIOD_S:
                 continue
-            self._told_s[model] = view.now_s
+            self._logged_s[model] = view.now_s
             self._core.events.record(
                 "placement_declined",
                 model=model,
@@ -48,5 +48,7 @@
                 endpoints=len(view.sites),
                 cold_loads=view.cold_loads,
                 asks=view.demand.asks(model, view.now_s),
-                kept=",".join(f"{why.value}:{count}" for why, count in kept.items()),
+                kept=",".join(
+                    f"{why.value}:{count}" for why, count in retained.items()
+                ),
             )
--- a/chutelink/placing/outlook.py
+++ b/chutelink/placing/demand_forecast.py
@@ -5,23 +5,23 @@
 from ..entry.demand import DemandTable, ModelDemand
 from ..ids import ModelName
 
-ACTIVE_SHARE = 0.03
+MIN_ACTIVE_SHARE = 0.03
 """Share of all requests from which a model counts as one of the busy ones."""
 MIN_ACTIVE_PER_S = 0.4
 """Requests a second below which no model counts as busy."""
-WINDOW_GAP = 3
+MAX_RUN_GAP = 3
 """Busy models so near in the operators' order belong to one run."""
-SHIFT_PLACES = 3
+DEMAND_SHIFT = 3
 """By how many places, in the operators' order, demand moves on at once.
 
 The first of the busy models fall silent, those behind them take over their share, and
 as many new ones come in behind.
 """
-OUTLOOK_SHARE = 0.6
+FORECAST_SHARE = 0.6
 """How much of a busy model's demand is prepared for at the one behind it."""
 
 
-class Outlook:
+class DemandForecast:
     """Demand as it is, and as it would be if it moved on along an order of models.
 
     Parameters
@@ -44,9 +44,9 @@
         self._arrivals = {m: total.arrivals_per_s for m, total in known.items()}
         self._last_s = {m: total.last_arrival_s for m, total in totals.items()}
         total = sum(self._arrivals.values())
-        least = max(ACTIVE_SHARE * total, MIN_ACTIVE_PER_S)
+        least = max(MIN_ACTIVE_SHARE * total, MIN_ACTIVE_PER_S)
         self.active = [m for m in order if self._arrivals[m] > least]
-        self.next = self._find_next()
+        self.upcoming = self._forecast_upcoming()
 
     def demand(self, model: ModelName) -> float:
         """Return the demand that a model has now, in engine time a second."""
@@ -58,37 +58,37 @@
 
     def expected(self) -> list[ModelName]:
         """Return the models that are busy or may soon be, in the operators' order."""
-        return [model for model in self._order if self.is_wanted(model)]
+        return [model for model in self._order if self.is_expected(model)]
 
     def work(self, model: ModelName) -> float:
         """Return the demand that a model has or may soon have, in engine time."""
-        return max(self._work.get(model, 0.0), self.next.get(model, 0.0))
+        return max(self._work.get(model, 0.0), self.upcoming.get(model, 0.0))
 
     def share(self, model: ModelName) -> float:
         """Return which part of all requests is for a model."""
         total = sum(self._arrivals.values())
         return self._arrivals.get(model, 0.0) / total if total else 0.0
 
-    def top_share(self, model: ModelName) -> float:
+    def peak_share(self, model: ModelName) -> float:
         """Return a model's share of requests now, or once demand has moved on."""
-        if model not in self.next:
+        if model not in self.upcoming:
             return self.share(model)
-        place = self._order.index(model) - SHIFT_PLACES
+        place = self._order.index(model) - DEMAND_SHIFT
         return max(self.share(model), self.share(self._order[place]))
 
-    def is_wanted(self, model: ModelName) -> bool:
+    def is_expected(self, model: ModelName) -> bool:
         """Return whether a model is busy or may soon be."""
-        return model in self.next or model in self.active
+        return model in self.upcoming or model in self.active
 
-    def _find_window(self) -> list[ModelName]:
+    def _find_busiest_run(self) -> list[ModelName]:
         """Return the busiest run of busy models that are near one another."""
         runs: list[list[ModelName]] = []
-        last = -WINDOW_GAP - 1
+        last = -MAX_RUN_GAP - 1
         active = set(self.active)
         for index, model in enumerate(self._order):
             if model not in active:
                 continue
-            if index - last > WINDOW_GAP:
+            if index - last > MAX_RUN_GAP:
                 runs.append([])
             runs[-1].append(model)
             last = index
@@ -96,7 +96,7 @@
             runs, key=lambda run: sum(self._arrivals[m] for m in run), default=[]
         )
 
-    def _find_next(self) -> dict[ModelName, float]:
+    def _forecast_upcoming(self) -> dict[ModelName, float]:
         """Return what each model would be asked for if demand moved on now.
 
         That is the demand of the models some places before it.
@@ -104,9 +104,9 @@
         expected: dict[ModelName, float] = {}
         places = len(self._order)
         position = {model: index for index, model in enumerate(self._order)}
-        for model in self._find_window():
-            work = OUTLOOK_SHARE * self._work[model]
-            for step in range(1, min(SHIFT_PLACES, places - 1) + 1):
+        for model in self._find_busiest_run():
+            work = FORECAST_SHARE * self._work[model]
+            for step in range(1, min(DEMAND_SHIFT, places - 1) + 1):
                 after = self._order[(position[model] + step) % places]
                 expected[after] = max(work, expected.get(after, 0.0))
         return expected
--- a/chutelink/placing/inventory.py
+++ b/chutelink/placing/inventory.py
@@ -94,7 +94,7 @@
         """
 
 
-REPORT_LAG_S = 1.0
+MAX_REPORT_LAG_S = 1.0
 """Longest time by which a report may be old: they say some hundred ms."""
 
 
@@ -120,8 +120,8 @@
         self.is_busy = False
         self.is_changing = False
         self.is_down = False
-        self.avoid_until_s = float("-inf")
-        self._behind_since_s: float | None = None
+        self.retry_after_s = float("-inf")
+        self._outdated_since_s: float | None = None
 
     @property
     def is_known(self) -> bool:
@@ -148,9 +148,9 @@
             # Another process: fewer orders are no sign that its report is late.
             self.born_ms = report.born_ms
             self.sequence = -1
-        if report.sequence < self.sequence and self._may_lag(now_s):
+        if report.sequence < self.sequence and self._may_be_delayed(now_s):
             return
-        self._behind_since_s = None
+        self._outdated_since_s = None
         models = dict(report.models)
         for model, adapter in report.coming:
             models[model] = models.get(model, frozenset()) | {adapter}
@@ -161,20 +161,20 @@
         self.is_busy = report.is_busy
 
     @property
-    def is_behind(self) -> bool:
+    def is_outdated(self) -> bool:
         """Whether the last report was from before the latest known order."""
-        return self._behind_since_s is not None
+        return self._outdated_since_s is not None
 
-    def _may_lag(self, now_s: float) -> bool:
+    def _may_be_delayed(self, now_s: float) -> bool:
         """Return whether reports with fewer orders may only be late."""
-        if self._behind_since_s is None:
-            self._behind_since_s = now_s
-        return now_s - self._behind_since_s < REPORT_LAG_S
+        if self._outdated_since_s is None:
+            self._outdated_since_s = now_s
+        return now_s - self._outdated_since_s < MAX_REPORT_LAG_S
 
-    def note_accepted(self, order: Order) -> None:
+    def apply_accepted(self, order: Order) -> None:
         """Take in that an order was accepted."""
         self.sequence = order.expected_sequence + 1
-        self._behind_since_s = None
+        self._outdated_since_s = None
         if order.adapter:
             held = self.models.get(order.model, frozenset())
             is_load = order.action is OrderAction.LOAD
@@ -192,16 +192,16 @@
         held = self.models.get(model)
         return held is not None and (not adapter or adapter in held)
 
-    def keeps(self, model: ModelName) -> bool:
+    def has_weights(self, model: ModelName) -> bool:
         """Return whether a model is held, or a copy of its weights is kept."""
         is_copied = model in self.in_memory or model in self.on_disk
         return model in self.models or is_copied
 
-    def kept(self) -> set[ModelName]:
+    def models_with_weights(self) -> set[ModelName]:
         """Return all models that are held, or of whose weights a copy is kept."""
         return {*self.models, *self.in_memory, *self.on_disk}
 
-    def shows(self, order: Order) -> bool:
+    def reflects(self, order: Order) -> bool:
         """Return whether what an order was to do is done."""
         is_held = self.has(order.model, order.adapter)
         return is_held if order.action is OrderAction.LOAD else not is_held
--- a/chutelink/placing/lease.py
+++ b/chutelink/placing/lease.py
@@ -24,29 +24,29 @@
 )
 from ..ids import NO_ERA, BootId, DaemonId, WriteId, make_id
 from ..store import Check, Row, Transaction, WatchedTable, Write, decode_value
-from .leaserow import (
+from .lease_row import (
     KEY_LEASE,
     LeasePhase,
     PlacerRow,
-    may_hide_holder,
+    call_timeout,
+    may_miss_holder,
     next_term,
-    time_limit,
 )
 
-HOLD_S = 2.2
+VALIDITY_S = 2.2
 """How long after sending a renewal the holder acts: two renewals may fail."""
 EXPIRY_S = 2.5
 """How long a contender must see no renewal: ``HOLD_S`` and a margin for clocks."""
-RENEW_S = 0.8
+RENEW_PERIOD_S = 0.8
 TICK_S = 0.1
-SILENCE_S = 1.3
+HOLDER_TIMEOUT_S = 1.3
 """Without word from the holder for so long, others look at the row.
 
 The holder speaks every 0.4 s.
 """
-RANK_STEP_S = 0.3
+RANK_DELAY_S = 0.3
 """How much later each further daemon in rank looks: few contend at once."""
-CONTEND_READ_S = 0.6
+CONTEND_PERIOD_S = 0.6
 
 
 class PlacerLease(Service):
@@ -87,15 +87,15 @@
         self._version = 0
         self._era = NO_ERA
         self._store_version = 0
-        self._seen_s: float | None = None
+        self._unchanged_since_s: float | None = None
         self._read_s = float("-inf")
-        self._held_until_s = float("-inf")
+        self._valid_until_s = float("-inf")
         self._renewed_s = float("-inf")
         self._orders_from_s = float("inf")
         self._taken_s = float("-inf")
-        self._heard_s = core.clock()
-        self._heard_term = 0
-        self._is_unsure = False
+        self._holder_heard_s = core.clock()
+        self._highest_term = 0
+        self._is_unconfirmed = False
         self._yields = 0
         self._yielded: LeaseYield | None = None
         self._yielded_s = float("-inf")
@@ -103,9 +103,9 @@
     @property
     def is_held(self) -> bool:
         """Whether this daemon is the placer now."""
-        if self.phase is not LeasePhase.HELD or self._is_unsure:
+        if self.phase is not LeasePhase.HELD or self._is_unconfirmed:
             return False
-        return self._core.clock() < self._held_until_s
+        return self._core.clock() < self._valid_until_s
 
     @property
     def may_order(self) -> bool:
@@ -128,9 +128,9 @@
 
     def note_holder(self, daemon: DaemonId, term: int) -> None:
         """Take in that the holder has spoken."""
-        self._heard_term = max(self._heard_term, term)
+        self._highest_term = max(self._highest_term, term)
         if term >= self.term:
-            self._heard_s = self._core.clock()
+            self._holder_heard_s = self._core.clock()
             if daemon != self._core.daemon_id and term > self.term:
                 self._lose("another_holder", term)
 
@@ -149,49 +149,49 @@
     async def _async_tick(self) -> None:
         try:
             if self.phase is LeasePhase.HELD:
-                await self._async_keep()
-            elif not self.is_leaving and self._is_due():
+                await self._async_maintain()
+            elif not self.is_leaving and self._should_contend():
                 await self._async_contend()
         except TransactionConflict:
             # The row was taken, or is of an older copy of the store.
-            self._seen_s = None
-            self._is_unsure = True
+            self._unchanged_since_s = None
+            self._is_unconfirmed = True
         except (PlatformUnavailable, WriteOutcomeUnknown) as error:
             self._core.events.warning("lease_call_failed", error=error)
-            self._doubt()
+            self._yield_lease()
 
-    def _doubt(self) -> None:
+    def _yield_lease(self) -> None:
         """Order nothing until a renewal succeeds, and let others take over."""
-        if self.phase is not LeasePhase.HELD or self._is_unsure:
+        if self.phase is not LeasePhase.HELD or self._is_unconfirmed:
             return
-        self._is_unsure = True
+        self._is_unconfirmed = True
         held_s = self._core.clock() - self._taken_s
         self._core.events.warning("lease_yielded", term=self.term, held_s=held_s)
         self._yields += 1
         daemon = self._core.daemon_id
         self._send(LeaseYield(daemon, self.term, held_s, self._yields))
 
-    def _is_due(self) -> bool:
+    def _should_contend(self) -> bool:
         now_s = self._core.clock()
-        step_s = RANK_STEP_S * self._rank()
-        if now_s - self._read_s < CONTEND_READ_S:
+        rank_delay_s = RANK_DELAY_S * self._rank()
+        if now_s - self._read_s < CONTEND_PERIOD_S:
             return False
-        if self._has_yielded() and now_s - self._yielded_s > step_s:
+        if self._has_yielded() and now_s - self._yielded_s > rank_delay_s:
             return True
-        patience_s = SILENCE_S if self._row or self.term else 0.0
-        return now_s - self._heard_s > patience_s + step_s
+        timeout_s = HOLDER_TIMEOUT_S if self._row or self.term else 0.0
+        return now_s - self._holder_heard_s > timeout_s + rank_delay_s
 
     def _has_yielded(self) -> bool:
         """Return whether the holder has yielded and not spoken since."""
-        return self._yielded is not None and self._yielded_s >= self._heard_s
+        return self._yielded is not None and self._yielded_s >= self._holder_heard_s
 
-    async def _async_keep(self) -> None:
+    async def _async_maintain(self) -> None:
         now_s = self._core.clock()
-        if now_s >= self._held_until_s:
+        if now_s >= self._valid_until_s:
             self._lose("expired", self.term)
-        elif self._is_unsure:
-            await self._async_look_up()
-        elif now_s - self._renewed_s >= RENEW_S:
+        elif self._is_unconfirmed:
+            await self._async_recover()
+        elif now_s - self._renewed_s >= RENEW_PERIOD_S:
             await self._async_renew()
 
     async def _async_renew(self) -> None:
@@ -204,14 +204,14 @@
         )
         await self._async_write(row)
 
-    async def _async_look_up(self) -> None:
+    async def _async_recover(self) -> None:
         """Read the row after a write that may have failed, then renew it."""
         await self._async_read()
-        if self._core.clock() >= self._held_until_s:
+        if self._core.clock() >= self._valid_until_s:
             self._lose("expired", self.term)
             return
         is_own = self._row is not None and self._row.boot_id == self._core.boot_id
-        if not is_own and may_hide_holder(self._row, self._era):
+        if not is_own and may_miss_holder(self._row, self._era):
             # That of an older copy: the holder whose row it lost is this daemon.
             await self._async_take(0.0)
             return
@@ -219,25 +219,25 @@
             self._lose("taken", self.term)
             return
         await self._async_renew()
-        self._is_unsure = False
+        self._is_unconfirmed = False
         self._core.events.info("lease_regained", term=self.term)
 
     async def _async_contend(self) -> None:
         """Look at the row, and take it when it is free or has expired."""
         self._read_s = self._core.clock()
         await self._async_read()
-        wait_s = self._wait_s()
-        if wait_s is not None:
-            await self._async_take(wait_s)
+        order_delay_s = self._takeover_delay_s()
+        if order_delay_s is not None:
+            await self._async_take(order_delay_s)
 
     async def _async_read(self) -> None:
-        async with time_limit():
+        async with call_timeout():
             page = await self._table.async_read(KEY_LEASE)
         found = page.get(KEY_LEASE)
         version = found.version if found is not None else 0
         is_same = (page.era, version) == (self._era, self._version)
-        if not is_same or self._seen_s is None:
-            self._seen_s = self._core.clock()
+        if not is_same or self._unchanged_since_s is None:
+            self._unchanged_since_s = self._core.clock()
         self._era, self._version = page.era, version
         self._store_version = page.version
         self._row = self._decode(found)
@@ -252,9 +252,9 @@
             return decode_value(row, PlacerRow)
         except PlatformUnavailable as error:
             self._core.events.warning("lease_row_invalid", error=error)
-            return PlacerRow(DaemonId(""), BootId(""), self._heard_term, 0)
+            return PlacerRow(DaemonId(""), BootId(""), self._highest_term, 0)
 
-    def _wait_s(self) -> float | None:
+    def _takeover_delay_s(self) -> float | None:
         """Return how long to hold orders back after taking, or None to wait.
 
         The former holder orders nothing more, but holders must not change twice
@@ -262,8 +262,8 @@
         it follows.
         """
         row = self._row
-        unchanged_s = self._core.clock() - self._seen_s
-        if may_hide_holder(row, self._era):
+        unchanged_s = self._core.clock() - self._unchanged_since_s
+        if may_miss_holder(row, self._era):
             if unchanged_s < EXPIRY_S:
                 return None
             return max(0.0, self._holder_gap_s - unchanged_s)
@@ -271,13 +271,13 @@
             return 0.0
         if row.is_released:
             return max(0.0, self._holder_gap_s - row.held_s)
-        if self._has_yielded() and self._is_still_yielded(row):
+        if self._has_yielded() and self._is_yield_current(row):
             return max(0.0, self._holder_gap_s - self._yielded.held_s)
         if unchanged_s < EXPIRY_S:
             return None
-        return max(0.0, self._holder_gap_s - row.counter * RENEW_S - unchanged_s)
+        return max(0.0, self._holder_gap_s - row.counter * RENEW_PERIOD_S - unchanged_s)
 
-    def _is_still_yielded(self, row: PlacerRow) -> bool:
+    def _is_yield_current(self, row: PlacerRow) -> bool:
         """Return whether the holder has not gone on after the yield that was heard.
 
         News may arrive late. A holder that had regained the lease by then was
@@ -285,7 +285,7 @@
         """
         return self._yielded.term == row.term and row.yields < self._yielded.number
 
-    async def _async_take(self, wait_s: float) -> None:
+    async def _async_take(self, order_delay_s: float) -> None:
         term = next_term(self._row, self._era, self._store_version)
         row = PlacerRow(
             self._core.daemon_id, self._core.boot_id, term, 1, era=self._era
@@ -295,17 +295,17 @@
         await self._async_write(row)
         self.phase = LeasePhase.HELD
         self.term = term
-        self._heard_term = max(self._heard_term, term)
-        self._is_unsure = False
+        self._highest_term = max(self._highest_term, term)
+        self._is_unconfirmed = False
         self._yields = 0
         self._taken_s = self._core.clock()
-        self._orders_from_s = self._taken_s + wait_s
+        self._orders_from_s = self._taken_s + order_delay_s
         self._core.metrics.lease_held.set({}, 1)
         self._core.events.info(
             "lease_taken",
             term=term,
             before=before.holder if before is not None else "",
-            orders_in_s=wait_s,
+            orders_in_s=order_delay_s,
         )
 
     async def _async_write(self, row: PlacerRow) -> None:
@@ -323,21 +323,21 @@
         check = Check(KEY_LEASE, self._version)
         write = Write(KEY_LEASE, msgspec.to_builtins(row))
         transaction = Transaction(WriteId(make_id()), (check,), (write,))
-        async with time_limit():
+        async with call_timeout():
             commit = await self._table.async_transact(transaction)
         if commit.era != self._era:
             raise TransactionConflict("another era", step="lease.write", peer=KEY_LEASE)
         self._version = commit.version
         self._row = row
-        self._seen_s = self._core.clock()
-        self._held_until_s = started_s + HOLD_S
+        self._unchanged_since_s = self._core.clock()
+        self._valid_until_s = started_s + VALIDITY_S
 
     def _lose(self, reason: str, term: int) -> None:
         if self.phase is LeasePhase.HELD:
             self._core.events.warning("lease_lost", reason=reason, term=term)
             self._core.metrics.lease_held.set({}, 0)
         self.phase = LeasePhase.FOLLOWING
-        self._held_until_s = float("-inf")
+        self._valid_until_s = float("-inf")
         self._orders_from_s = float("inf")
 
     async def async_release(self) -> None:
--- a/chutelink/placing/leaserow.py
+++ b/chutelink/placing/lease_row.py
@@ -16,7 +16,7 @@
 KEY_LEASE = f"{TABLE_LEASES}/placer"
 VERSIONS_PER_ERA = 2**32
 """Far more than any store gives out before it is restored."""
-CALL_LIMIT_S = 0.5
+CALL_TIMEOUT_S = 0.5
 """A renewal without an answer for so long is looked up; slow answers take 0.5 s."""
 
 
@@ -57,7 +57,7 @@
     return era * VERSIONS_PER_ERA + version + 1
 
 
-def may_hide_holder(row: PlacerRow | None, era: StoreEra) -> bool:
+def may_miss_holder(row: PlacerRow | None, era: StoreEra) -> bool:
     """Return whether the store may have lost the row of a later holder.
 
     True of a row, or of none, that lies in the store since an earlier era.
@@ -66,10 +66,10 @@
 
 
 @asynccontextmanager
-async def time_limit() -> AsyncIterator[None]:
+async def call_timeout() -> AsyncIterator[None]:
     """Give a call up early: a lease is worth nothing once it is late."""
     try:
-        async with asyncio.timeout(CALL_LIMIT_S):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             yield
     except TimeoutError as error:
         raise WriteOutcomeUnknown(
--- a/chutelink/placing/forecast.py
+++ b/chutelink/placing/load_forecast.py
@@ -11,9 +11,9 @@
 import math
 
 from ..ids import ModelName
+from .capacity import load_time
 from .changes import PlacementView
-from .room import load_time
-from .rounds import MAX_OVERDUE_SHARE
+from .planner import MAX_OVERDUE_SHARE
 
 
 def forecast_loads(
--- a/chutelink/placing/orders.py
+++ b/chutelink/placing/orders.py
@@ -10,32 +10,32 @@
 from ..entry.endpoints import NO_ADAPTER, Endpoint, EndpointTable
 from ..exceptions import EndpointFailed, EndpointUnreachable, InvariantViolated
 from ..ids import AdapterName, ModelName, ServiceName
+from .capacity import fits
 from .changes import Change
 from .inventory import EngineClient, Inventory, Order, OrderAction, OrderAnswer
 from .lease import PlacerLease
-from .room import has_room
 
-CLOSE_LEAD_S = 0.03
+UNLOAD_NOTICE_S = 0.03
 """Time for the others to hear of a model that closes before it is unloaded."""
-CHECK_PERIOD_S = 0.05
+MIN_POLL_PERIOD_S = 0.05
 """Shortest pause between reports while waiting for an order's end."""
-CHECK_SHARE = 0.15
+POLL_PERIOD_SHARE = 0.15
 """Pause between reports, as a share of the time waited: each is charged for."""
-MAX_LAG_S = 0.5
-LAG_STEP = 0.2
+MAX_REPORT_LAG_S = 0.5
+REPORT_LAG_SMOOTHING = 0.2
 """Share of an error that the learned lag of reports takes over."""
-UNLOAD_LIMIT_S = 20.0
+UNLOAD_TIMEOUT_S = 20.0
 """An endpoint ends the streams of a model before it gives the model up.
 
 It takes no other order meanwhile, so that giving up on it gains nothing.
 """
-ADAPTER_LIMIT_S = 0.4
+ADAPTER_UNLOAD_TIMEOUT_S = 0.4
 """How long to wait for an adapter that turned out to be in use."""
-LOAD_LIMIT_FACTOR = 4.0
+LOAD_TIMEOUT_FACTOR = 4.0
 """Loads take longer while many run."""
 
 
-def show_models(table: EndpointTable, inventory: Inventory) -> None:
+def publish_models(table: EndpointTable, inventory: Inventory) -> None:
     """Let requests be sent for what an endpoint holds now."""
     table.take_models(
         inventory.endpoint,
@@ -45,7 +45,7 @@
     )
 
 
-class OrderDesk:
+class OrderSender:
     """Sends orders one after the other to an endpoint, under the lease.
 
     Parameters
@@ -75,7 +75,7 @@
         self._client = client
         self._table = table
         self._engine_of = engine_of
-        self._lag_s = 0.0
+        self._report_lag_s = 0.0
 
     async def async_report(self, inventory: Inventory) -> None:
         """Read an endpoint's report into its inventory.
@@ -100,30 +100,32 @@
             )
         inventory.take_report(report, self._core.clock())
         if not inventory.is_busy:
-            show_models(self._table, inventory)
+            publish_models(self._table, inventory)
 
-    async def async_carry_out(
+    async def async_execute(
         self, change: Change, inventory: Inventory, row: Endpoint
     ) -> None:
         """Unload, then load; each step ends before the next one begins."""
         if change.unload_models:
-            await asyncio.sleep(CLOSE_LEAD_S)
+            await asyncio.sleep(UNLOAD_NOTICE_S)
         for model, adapter in change.unload_adapters:
             await self._async_order(inventory, row, OrderAction.UNLOAD, model, adapter)
         for model in change.unload_models:
             await self._async_order(inventory, row, OrderAction.UNLOAD, model)
-            show_models(self._table, inventory)
-            await self._async_until_idle(inventory, UNLOAD_LIMIT_S, row.running(model))
+            publish_models(self._table, inventory)
+            await self._async_wait_until_idle(
+                inventory, UNLOAD_TIMEOUT_S, row.running(model)
+            )
         await self._async_order(
             inventory, row, OrderAction.LOAD, change.model, change.adapter
         )
         if not change.adapter:
             await asyncio.sleep(change.load_s)
-            limit_s = LOAD_LIMIT_FACTOR * change.load_s
-            await self._async_until_idle(inventory, limit_s)
+            timeout_s = LOAD_TIMEOUT_FACTOR * change.load_s
+            await self._async_wait_until_idle(inventory, timeout_s)
         if not inventory.has(change.model, change.adapter):
             raise EndpointFailed("not loaded", step="load", peer=change.endpoint)
-        show_models(self._table, inventory)
+        publish_models(self._table, inventory)
         self._core.metrics.moves.inc({"action": "load", "result": "done"})
 
     async def _async_order(
@@ -150,7 +152,7 @@
                 "gone or restarted", step="order", peer=inventory.endpoint
             )
         if action is OrderAction.LOAD:
-            self._check_room(inventory, row, model, adapter)
+            self._check_capacity(inventory, row, model, adapter)
         fence = self._lease.begin_order()
         order = Order(
             action, model, adapter, inventory.sequence, self._core.daemon_id, fence
@@ -158,7 +160,7 @@
         try:
             answer = await self._client.async_order(row, order)
         except EndpointFailed as error:
-            await self._async_settle(inventory, order, error)
+            await self._async_resolve_outcome(inventory, order, error)
             answer = OrderAnswer.SETTLED
         self._core.events.record(
             "order_answered",
@@ -170,9 +172,9 @@
             fence=fence,
             answer=answer.value,
         )
-        await self._async_take_answer(inventory, order, answer)
+        await self._async_apply_answer(inventory, order, answer)
 
-    async def _async_take_answer(
+    async def _async_apply_answer(
         self, inventory: Inventory, order: Order, answer: OrderAnswer
     ) -> None:
         """Bring the inventory in line with an answer."""
@@ -181,18 +183,18 @@
         is_adapter_unload = order.adapter and order.action is OrderAction.UNLOAD
         if answer is OrderAnswer.ACCEPTED and is_adapter_unload:
             # It is in use and keeps its place until it is not any more.
-            await self._async_until_gone(inventory, order)
+            await self._async_wait_for_adapter_unload(inventory, order)
         elif answer is OrderAnswer.ACCEPTED or (
             # Unused adapters go at once, which counts as an order accepted.
             answer is OrderAnswer.ALREADY_HOLDS and is_adapter_unload
         ):
-            inventory.note_accepted(order)
+            inventory.apply_accepted(order)
         elif answer is OrderAnswer.ALREADY_HOLDS:
             await self.async_report(inventory)
         else:
             raise EndpointFailed(answer.value, step="order", peer=inventory.endpoint)
 
-    def _check_room(
+    def _check_capacity(
         self,
         inventory: Inventory,
         row: Endpoint,
@@ -207,7 +209,7 @@
             There is no room.
         """
         engine = self._engine_of(row.record.service)
-        if engine is not None and has_room(inventory, engine, model, adapter):
+        if engine is not None and fits(inventory, engine, model, adapter):
             return
         self._core.metrics.violations.inc({"step": "placement.room"})
         raise InvariantViolated(
@@ -216,7 +218,7 @@
             peer=inventory.endpoint,
         )
 
-    async def _async_settle(
+    async def _async_resolve_outcome(
         self, inventory: Inventory, order: Order, error: EndpointFailed
     ) -> None:
         """Learn from a report what became of an order without an answer.
@@ -226,15 +228,17 @@
         """
         await self.async_report(inventory)
         is_newer = inventory.sequence > order.expected_sequence
-        if inventory.is_busy or not is_newer or not inventory.shows(order):
+        if inventory.is_busy or not is_newer or not inventory.reflects(order):
             raise error
 
-    async def _async_until_gone(self, inventory: Inventory, order: Order) -> None:
+    async def _async_wait_for_adapter_unload(
+        self, inventory: Inventory, order: Order
+    ) -> None:
         """Wait until an adapter that was in use has given up its place."""
         inventory.sequence = order.expected_sequence + 1
-        end_s = self._core.clock() + ADAPTER_LIMIT_S
+        end_s = self._core.clock() + ADAPTER_UNLOAD_TIMEOUT_S
         while self._core.clock() < end_s:
-            await asyncio.sleep(CHECK_PERIOD_S)
+            await asyncio.sleep(MIN_POLL_PERIOD_S)
             await self.async_report(inventory)
             if not inventory.has(order.model, order.adapter):
                 return
@@ -242,24 +246,24 @@
             "adapter still in use", step="order.wait", peer=inventory.endpoint
         )
 
-    async def _async_until_idle(
-        self, inventory: Inventory, limit_s: float, running: int = 0
+    async def _async_wait_until_idle(
+        self, inventory: Inventory, timeout_s: float, running: int = 0
     ) -> None:
         """Wait until no order is under way, by its time or by what is running."""
         started_s = self._core.clock()
-        await asyncio.sleep(self._lag_s)
+        await asyncio.sleep(self._report_lag_s)
         while True:
             await self.async_report(inventory)
             waited_s = self._core.clock() - started_s
             if not inventory.is_busy:
                 break
-            if waited_s >= limit_s:
+            if waited_s >= timeout_s:
                 raise EndpointUnreachable(
                     "order not done in time",
                     step="order.wait",
                     peer=inventory.endpoint,
                 )
-            await asyncio.sleep(max(CHECK_PERIOD_S, CHECK_SHARE * waited_s))
+            await asyncio.sleep(max(MIN_POLL_PERIOD_S, POLL_PERIOD_SHARE * waited_s))
         if not running:
-            lag_s = min(MAX_LAG_S, max(0.0, waited_s - CHECK_PERIOD_S))
-            self._lag_s += LAG_STEP * (lag_s - self._lag_s)
+            lag_s = min(MAX_REPORT_LAG_S, max(0.0, waited_s - MIN_POLL_PERIOD_S))
+            self._report_lag_s += REPORT_LAG_SMOOTHING * (lag_s - self._report_lag_s)
--- a/chutelink/placing/placement.py
+++ b/chutelink/placing/placement.py
@@ -10,9 +10,9 @@
 from collections import Counter
 
 from ..ids import ModelName
-from .changes import Change, Decline, PlacementView
-from .holdings import RECENT_S, Kept
-from .rounds import PlacementRound
+from .changes import Change, DeclineReason, PlacementView
+from .planner import PlacementPlanner
+from .residency import RECENT_S, RetainReason
 
 
 class PlacementPolicy(ABC):
@@ -24,8 +24,8 @@
     """
 
     def __init__(self) -> None:
-        self.declined: dict[ModelName, Decline] = {}
-        self.kept: Counter[Kept] = Counter()
+        self.declined: dict[ModelName, DeclineReason] = {}
+        self.retained: Counter[RetainReason] = Counter()
         self.queued: list[ModelName] = []
 
     @abstractmethod
@@ -46,40 +46,40 @@
 
     def plan(self, view: PlacementView) -> list[Change]:
         """Return changes, the most urgent first; one for each endpoint."""
-        round_ = PlacementRound(view)
+        planner = PlacementPlanner(view)
         waiting = view.demand.waiting(view.now_s)
-        denied_s = round_.denied_s
+        denied_s = planner.denied_s
         wanted = sorted(waiting, key=lambda key: -waiting[key])
-        busy = [key for key in wanted if key[0] in round_.outlook.active]
-        rare = [key for key in wanted if key[0] not in round_.outlook.active]
+        busy = [key for key in wanted if key[0] in planner.forecast.active]
+        rare = [key for key in wanted if key[0] not in planner.forecast.active]
         rare.sort(key=lambda key: -denied_s.get(key, 0.0))
         rejected = [key for key in denied_s if key not in waiting]
         rejected.sort(key=lambda key: -denied_s[key])
         recent = view.demand.recent(view.now_s, RECENT_S)
         for model, adapter in busy:
-            round_.make_wanted(model, adapter)
-        for model in round_.outlook.active:
-            round_.pair(model)
+            planner.load_requested(model, adapter)
+        for model in planner.forecast.active:
+            planner.add_second_replica(model)
         for model in recent:
-            round_.add_replica(model)
+            planner.add_replica(model)
         for model, adapter in rare:
-            round_.make_wanted(model, adapter)
+            planner.load_requested(model, adapter)
         # Callers that were rejected come back, or others do.
         for model, _ in rejected:
-            round_.make_resident(model)
+            planner.ensure_resident(model)
         for model in recent:
-            round_.make_resident(model)
+            planner.ensure_resident(model)
         # What may be asked for comes after what requests wait for.
-        for model in round_.outlook.expected():
-            round_.reserve(model)
-        for model in round_.next_models():
-            round_.prepare(model)
-        for model in round_.outlook.active:
-            round_.add_adapters(model)
-        if round_.may_spread():
+        for model in planner.forecast.expected():
+            planner.preload_second_replica(model)
+        for model in planner.upcoming_models():
+            planner.preload(model)
+        for model in planner.forecast.active:
+            planner.add_adapters(model)
+        if planner.may_prefetch():
             for model in view.engine.models:
-                round_.spread(model)
-        self.queued = round_.without_replica([model for model, _ in (*busy, *rare)])
-        self.declined = round_.declined
-        self.kept = round_.kept() if round_.declined else Counter()
-        return round_.changes
+                planner.prefetch(model)
+        self.queued = planner.without_replica([model for model, _ in (*busy, *rare)])
+        self.declined = planner.declined
+        self.retained = planner.retained() if planner.declined else Counter()
+        return planner.changes
--- a/chutelink/placing/placer.py
+++ b/chutelink/placing/placer.py
@@ -18,20 +18,20 @@
 from ..learning.health import HealthTable
 from ..quarantine.probe import ConnectProbe, EndingProbe, ProbeResult
 from .announcer import ANNOUNCE_PERIOD_S, Announcer
-from .board import LoadBoard
+from .change_tracker import ChangeTracker
 from .changes import Change, PlacementView, Site
-from .declined import DeclineLog
-from .forecast import forecast_loads
+from .cold_load_limiter import ColdLoadLimiters
+from .decline_log import DeclineLog
 from .inventory import EngineClient, Inventory
 from .lease import PlacerLease
-from .loadpause import LoadPauses
-from .orders import CLOSE_LEAD_S, OrderDesk
+from .load_backoff import LoadBackoff
+from .load_forecast import forecast_loads
+from .orders import UNLOAD_NOTICE_S, OrderSender
 from .overload import mark_overloaded
-from .pace import ColdLoadPaces
 from .placement import PlacementPolicy
 
 TICK_S = 0.05
-DOUBT_PERIOD_S = 0.15
+RECHECK_PERIOD_S = 0.15
 """Shortest time between two reports of an endpoint that others can't reach."""
 DOWN_RETRY_S = 0.4
 """How often an endpoint that does not answer is asked again."""
@@ -40,11 +40,11 @@
 
 One that is gone shows by lost requests, or its registration, which lapses by then.
 """
-BUSY_PERIOD_S = 0.3
+BUSY_REPORT_PERIOD_S = 0.3
 """How often an endpoint is asked whose order is not seen to be done yet."""
 FIRST_TERM = 1
 """Before it there was no holder."""
-FAILED_PAUSE_S = 0.3
+FAILED_CHANGE_DELAY_S = 0.3
 """Pause before anything else is ordered where an order failed."""
 
 
@@ -88,19 +88,19 @@
         super().__init__()
         self._core = core
         self._lease = lease
-        self._desk = OrderDesk(core, lease, client, table, self._engine_of)
+        self._order_sender = OrderSender(core, lease, client, table, self._engine_of)
         self._table = table
         self._demand = demand
         self._health = health
         self._policy = policy
         self._announcer = Announcer(core, table, send)
         self._inventories: dict[EndpointId, Inventory] = {}
-        self._board = LoadBoard(pending)
-        self.paces = ColdLoadPaces(core, pending)
+        self._tracker = ChangeTracker(pending)
+        self.paces = ColdLoadLimiters(core, pending)
         self._announced_s = float("-inf")
         self._wake = asyncio.Event()
-        self._declined = DeclineLog(core)
-        self._pauses = LoadPauses()
+        self._decline_log = DeclineLog(core)
+        self._load_backoff = LoadBackoff()
         self.probe: EndingProbe = ConnectProbe()
         self._term = 0
         self.config: RoutingConfig | None = None
@@ -116,7 +116,7 @@
             inventory = self._inventories.get(endpoint)
             if inventory is None or inventory.is_down or inventory.is_changing:
                 continue
-            if now_s - inventory.read_s > DOUBT_PERIOD_S:
+            if now_s - inventory.read_s > RECHECK_PERIOD_S:
                 inventory.read_s = float("-inf")
                 self.wake()
 
@@ -150,9 +150,9 @@
         """Forget what an earlier term knew: others may have sent orders since."""
         self._term = self._lease.term
         self._inventories.clear()
-        self._board.clear()
+        self._tracker.clear()
         self.paces.clear()
-        self._announcer.forget()
+        self._announcer.reset()
 
     def _engine_of(self, service: ServiceName) -> EngineSpec | None:
         spec = self.config.services.get(service)
@@ -183,21 +183,21 @@
         """Ask the endpoints whose last report is old; each in a task of its own."""
         now_s = self._core.clock()
         for inventory in self._inventories.values():
-            is_soon = inventory.is_busy or inventory.is_behind
-            period_s = BUSY_PERIOD_S if is_soon else REPORT_PERIOD_S
+            is_urgent = inventory.is_busy or inventory.is_outdated
+            period_s = BUSY_REPORT_PERIOD_S if is_urgent else REPORT_PERIOD_S
             if inventory.is_changing or now_s - inventory.read_s < period_s:
                 continue
-            if now_s < inventory.avoid_until_s:
+            if now_s < inventory.retry_after_s:
                 continue
             inventory.is_changing = True
             self.add_future(self._async_refresh(inventory))
 
     async def _async_refresh(self, inventory: Inventory) -> None:
         try:
-            await self._desk.async_report(inventory)
+            await self._order_sender.async_report(inventory)
         except ChutelinkError as error:
             inventory.is_down = True
-            inventory.avoid_until_s = self._core.clock() + DOWN_RETRY_S
+            inventory.retry_after_s = self._core.clock() + DOWN_RETRY_S
             self._core.events.record(
                 "report_failed", endpoint=inventory.endpoint, error=error
             )
@@ -211,7 +211,7 @@
         if not sites or not all(site.inventory.is_known for site in sites):
             # What an endpoint holds that has not reported would be loaded again.
             return
-        pace = self.paces.get(
+        limiter = self.paces.get(
             service,
             engine.cold_loads_per_s,
             is_first_term=self._term == FIRST_TERM,
@@ -219,19 +219,19 @@
         view = PlacementView(
             engine=engine,
             sites=sites,
-            loading=self._board.loading(self._inventories),
+            loading=self._tracker.loading(self._inventories),
             demand=self._demand,
-            cold_loads=pace.available(now_s),
+            cold_loads=limiter.available(now_s),
             now_s=now_s,
-            paused=self._pauses.paused(now_s),
+            paused=self._load_backoff.paused_models(now_s),
         )
         for change in self._policy.plan(view):
             if change.is_cold:
-                pace.take(now_s)
-            self._begin(change)
+                limiter.record_start(now_s)
+            self._start_change(change)
         forecast_s = forecast_loads(view, self._policy.queued)
-        self._board.set_queue(service, forecast_s, now_s)
-        self._declined.note(view, self._policy.declined, self._policy.kept)
+        self._tracker.set_queued(service, forecast_s, now_s)
+        self._decline_log.note(view, self._policy.declined, self._policy.retained)
 
     def _sites(self, service: ServiceName) -> list[Site]:
         """Return the endpoints that answer, with what is known of each."""
@@ -242,16 +242,16 @@
             if inventory is None or inventory.is_down:
                 continue
             paused_share = self._health.paused_share(endpoint)
-            free_in_s = self._board.free_in_s(inventory, self._core.clock())
+            free_in_s = self._tracker.free_in_s(inventory, self._core.clock())
             sites.append(Site(row, inventory, paused_share, free_in_s))
         return sites
 
-    def _begin(self, change: Change) -> None:
+    def _start_change(self, change: Change) -> None:
         inventory = self._inventories[change.endpoint]
         inventory.is_changing = True
-        unload_s = CLOSE_LEAD_S * bool(change.unload_models)
+        unload_s = UNLOAD_NOTICE_S * bool(change.unload_models)
         ready_s = self._core.clock() + change.load_s + unload_s
-        self._board.begin(change, ready_s)
+        self._tracker.begin(change, ready_s)
         self._core.events.record(
             "placement_begun",
             endpoint=change.endpoint,
@@ -265,22 +265,22 @@
             sequence=inventory.sequence,
             term=self._term,
         )
-        self.add_future(self._async_carry_out(change, inventory))
+        self.add_future(self._async_execute(change, inventory))
 
-    async def _async_carry_out(self, change: Change, inventory: Inventory) -> None:
+    async def _async_execute(self, change: Change, inventory: Inventory) -> None:
         row = self._table.rows.get(change.endpoint)
         try:
             if row is not None:
                 row.closing = frozenset(change.unload_models)
                 self.announce()
-                await self._desk.async_carry_out(change, inventory, row)
-                self._pauses.note_loaded(change.model)
+                await self._order_sender.async_execute(change, inventory, row)
+                self._load_backoff.record_success(change.model)
         except ChutelinkError as error:
-            inventory.avoid_until_s = self._core.clock() + FAILED_PAUSE_S
+            inventory.retry_after_s = self._core.clock() + FAILED_CHANGE_DELAY_S
             inventory.read_s = float("-inf")
-            has_ended = await self._async_has_ended(row)
+            has_ended = await self._async_has_exited(row)
             if has_ended:
-                self._pauses.note_ended(change.model, self._core.clock())
+                self._load_backoff.record_exit(change.model, self._core.clock())
             self._core.events.record(
                 "placement_failed",
                 endpoint=change.endpoint,
@@ -292,12 +292,12 @@
         finally:
             if row is not None:
                 row.closing = frozenset()
-            self._board.end(change)
+            self._tracker.end(change)
             inventory.is_changing = False
         self.announce()
         self.wake()
 
-    async def _async_has_ended(self, row: Endpoint) -> bool:
+    async def _async_has_exited(self, row: Endpoint) -> bool:
         """Return whether the process has ended that was to carry out a change.
 
         One that has said that it leaves, or vanished and lives, has ended nothing.
@@ -318,6 +318,6 @@
         self._announcer.announce(
             self._term,
             self._inventories.values(),
-            self._board.pending_loads(now_s),
-            self._board.queued_loads(now_s),
+            self._tracker.pending_loads(now_s),
+            self._tracker.queued_loads(now_s),
         )
--- a/chutelink/placing/rounds.py
+++ b/chutelink/placing/planner.py
@@ -9,10 +9,10 @@
 
 from ..entry.config import ModelSpec
 from ..ids import AdapterName, ModelName
-from .adapters import AdapterRound
-from .changes import Change, ChangeReason, Decline, PlacementView, Site
-from .holdings import Holdings, Kept
-from .room import load_time, lost_copies, model_mb, used_mb
+from .adapter_planner import AdapterPlanner
+from .capacity import load_time, lost_copies, model_mb, used_mb
+from .changes import Change, ChangeReason, DeclineReason, PlacementView, Site
+from .residency import ModelResidency, RetainReason
 
 REPLICA_WORK = 0.35
 """Engine seconds a second above which another replica is wanted.
@@ -20,18 +20,18 @@
 A third of an endpoint's time, not counting what caches save: two busy models
 often share an endpoint, and waiting grows quickly above half.
 """
-MAX_PREPARED_REPLICAS = 3
+MAX_PRELOADED_REPLICAS = 3
 """Replicas that are worth loading before they are asked for."""
-RUNNING_DELAY_S = 1.0
+RUNNING_PENALTY_S = 1.0
 """How long an unload waits for requests under way; long answers take 1 to 3 s."""
-BLOCKED_SHARE = 0.5
+ADAPTER_BLOCK_SHARE = 0.5
 """What loading where a busy model then gets no adapters costs, of the load's time."""
-LOST_COPY_S = 3.0
+LOST_COPY_PENALTY_S = 3.0
 """What it costs, as load time, to lose the only copy of a model's weights.
 
 The difference between a cold load and one from an endpoint's own disk.
 """
-WAIT_MARGIN_S = 0.3
+CHANGE_MARGIN_S = 0.3
 """What a change usually takes longer than planned: reports, requests under way."""
 MAX_RARE_SHARE = 0.45
 """Share of the endpoints that may load rare models at once.
@@ -43,7 +43,7 @@
 
 The others stay free for adapters and replicas of busy models.
 """
-COLD_LOAD_ASKS = 1.5
+COLD_LOAD_MIN_REQUESTS = 1.5
 """How often a rare model must lately have been asked for to be fetched.
 
 A cold load costs about as much as one request is worth, and takes the place of
@@ -51,16 +51,16 @@
 """
 BUSY_PENALTY_S = 3.0
 """What an endpoint that is busy all the time costs, as load time."""
-CROWDED_WORK = 0.5
+SATURATED_WORK = 0.5
 """Engine seconds a second from which an endpoint's streams pause too long.
 
 Prompts are then read without a break between the tokens of other requests.
 """
-CROWDED_MODEL_WORK = 0.1
+MIN_RELIEF_WORK = 0.1
 """A model asked for less than this is not moved away from busy endpoints."""
 
 
-class PlacementRound:
+class PlacementPlanner:
     """One pass of a policy; endpoints that got a change are left out.
 
     Parameters
@@ -79,126 +79,128 @@
             and not site.inventory.is_changing
             and not site.inventory.is_busy
             and not site.overloaded
-            and view.now_s >= site.inventory.avoid_until_s
+            and view.now_s >= site.inventory.retry_after_s
         }
-        self._holdings = Holdings(view)
-        self.outlook = self._holdings.outlook
-        self._adapters = AdapterRound(view, self._free, self._holdings)
+        self._residency = ModelResidency(view)
+        self.forecast = self._residency.forecast
+        self._adapter_planner = AdapterPlanner(view, self._free, self._residency)
         self.changes: list[Change] = []
-        self.declined: dict[ModelName, Decline] = {}
+        self.declined: dict[ModelName, DeclineReason] = {}
 
     @property
     def denied_s(self) -> dict[tuple[ModelName, AdapterName], float]:
         """How long each model and adapter has been waited for."""
-        return self._holdings.denied_s
+        return self._residency.denied_s
 
-    def next_models(self) -> list[ModelName]:
+    def upcoming_models(self) -> list[ModelName]:
         """Return the models that may be asked for more, the busiest first."""
-        expected = self.outlook.next
+        expected = self.forecast.upcoming
         return sorted(expected, key=lambda model: -expected[model])
 
-    def make_wanted(self, model: ModelName, adapter: AdapterName) -> None:
+    def load_requested(self, model: ModelName, adapter: AdapterName) -> None:
         """Load what a request waits for."""
-        self.make_resident(model)
+        self.ensure_resident(model)
         if adapter:
-            self.make_adapter_resident(model, adapter)
+            self.ensure_adapter_resident(model, adapter)
 
-    def make_resident(
+    def ensure_resident(
         self, model: ModelName, reason: ChangeReason = ChangeReason.ASKED
     ) -> None:
         """Load a model that no endpoint holds."""
-        if self._holdings.replicas(model) == 0:
-            self._load(model, reason, may_be_cold=self._earns_cold(model))
+        if self._residency.replicas(model) == 0:
+            self._load(model, reason, may_be_cold=self._justifies_cold_load(model))
 
-    def _earns_cold(self, model: ModelName) -> bool:
+    def _justifies_cold_load(self, model: ModelName) -> bool:
         """Return whether a load from the weight store is worth its price."""
         demand, now_s = self._view.demand, self._view.now_s
-        if self.outlook.is_wanted(model):
+        if self.forecast.is_expected(model):
             return True
-        is_overdue = self._holdings.is_overdue(model)
+        is_overdue = self._residency.is_overdue(model)
         share = MAX_OVERDUE_SHARE if is_overdue else MAX_RARE_SHARE
-        if self._holdings.rare_loads() >= max(1.0, share * len(self._view.sites)):
+        if self._residency.rare_loads() >= max(1.0, share * len(self._view.sites)):
             return False
-        if self._holdings.is_delayed(model):
+        if self._residency.is_delayed(model):
             return True
-        is_asked = demand.asks(model, now_s) >= COLD_LOAD_ASKS
+        is_asked = demand.asks(model, now_s) >= COLD_LOAD_MIN_REQUESTS
         return is_asked or demand.has_patient(model, now_s)
 
-    def pair(self, model: ModelName) -> None:
+    def add_second_replica(self, model: ModelName) -> None:
         """Load a model a second time that many ask for, or soon may.
 
         Not while a rare model is overdue, which would evict the replica again.
         """
-        if self._holdings.has_overdue:
+        if self._residency.has_overdue:
             return
-        if self._holdings.replicas(model) < 2 and self._holdings.is_top(model):
+        if self._residency.replicas(model) < 2 and self._residency.is_high_traffic(
+            model
+        ):
             self._load(model, ChangeReason.PAIR)
 
-    def reserve(self, model: ModelName) -> None:
+    def preload_second_replica(self, model: ModelName) -> None:
         """Load a model a second time that may soon be requested by many.
 
         Not while another is missing: the replica would evict one that is requested.
         """
-        if not self._holdings.has_missing:
-            self.pair(model)
+        if not self._residency.has_missing:
+            self.add_second_replica(model)
 
     def add_replica(self, model: ModelName) -> None:
         """Load a busy model once more, or one whose endpoints others keep busy."""
-        replicas = self._holdings.replicas(model)
-        work = self.outlook.demand(model)
+        replicas = self._residency.replicas(model)
+        work = self.forecast.demand(model)
         if not replicas:
             return
-        if work / replicas > REPLICA_WORK or self._is_crowded(model, work):
+        if work / replicas > REPLICA_WORK or self._has_saturated_endpoints(model, work):
             self._load(model, ChangeReason.BUSY)
 
-    def _is_crowded(self, model: ModelName, work: float) -> bool:
+    def _has_saturated_endpoints(self, model: ModelName, work: float) -> bool:
         """Return whether all endpoints of a busy model are busy, and another is not.
 
         Models of one endpoint share its batch: a backlog of prompts of one makes the
         others' streams pause.
         """
-        if work < CROWDED_MODEL_WORK or self._holdings.is_loading(model):
+        if work < MIN_RELIEF_WORK or self._residency.is_loading(model):
             return False
         holders = [s for s in self._view.sites if model in s.inventory.models]
-        if not holders or min(map(self._holdings.site_work, holders)) < CROWDED_WORK:
+        if not holders or min(map(self._residency.site_work, holders)) < SATURATED_WORK:
             return False
         return any(
-            self._holdings.site_work(site) < CROWDED_WORK / 2
+            self._residency.site_work(site) < SATURATED_WORK / 2
             for site in self._free.values()
             if model not in site.inventory.models
         )
 
-    def prepare(self, model: ModelName) -> None:
+    def preload(self, model: ModelName) -> None:
         """Load a model that may soon be asked for more, in advance."""
-        wanted = max(1, math.ceil(self.outlook.next[model] / REPLICA_WORK))
-        if self._holdings.replicas(model) < min(wanted, MAX_PREPARED_REPLICAS):
+        wanted = max(1, math.ceil(self.forecast.upcoming[model] / REPLICA_WORK))
+        if self._residency.replicas(model) < min(wanted, MAX_PRELOADED_REPLICAS):
             self._load(model, ChangeReason.NEXT)
 
-    def spread(self, model: ModelName) -> None:
+    def prefetch(self, model: ModelName) -> None:
         """Fetch a model of whose weights no endpoint keeps a copy, before any demand.
 
         Whoever asks for it later waits for a load from an endpoint's own copy, a
         fifth of the time of a cold one.
         """
-        if self._holdings.is_loading(model) or self._holdings.is_kept(model):
+        if self._residency.is_loading(model) or self._residency.has_weights(model):
             return
         self._load(model, ChangeReason.SPREAD)
 
-    def may_spread(self) -> bool:
+    def may_prefetch(self) -> bool:
         """Return whether there is no demand yet, and it is known what is kept."""
         if self._view.demand.uses:
             return False
         return all(site.inventory.is_known for site in self._view.sites)
 
-    def make_adapter_resident(self, model: ModelName, adapter: AdapterName) -> None:
+    def ensure_adapter_resident(self, model: ModelName, adapter: AdapterName) -> None:
         """Load an adapter where its model is, if none is there yet."""
-        change = self._adapters.make_resident(model, adapter)
+        change = self._adapter_planner.ensure_resident(model, adapter)
         if change is not None:
             self.changes.append(change)
 
     def add_adapters(self, model: ModelName) -> None:
         """Use free places for adapters of a busy model that are nowhere yet."""
-        self.changes += self._adapters.add(model)
+        self.changes += self._adapter_planner.add_missing(model)
 
     def _load(
         self, model: ModelName, reason: ChangeReason, *, may_be_cold: bool = True
@@ -207,14 +209,14 @@
         if spec is None:
             return
         if model in self._view.paused:
-            self.declined[model] = Decline.ENDS_ENDPOINTS
+            self.declined[model] = DeclineReason.ENDS_ENDPOINTS
             return
         options = []
         has_room = False
-        is_replica = self._holdings.replicas(model) > 0
+        is_replica = self._residency.replicas(model) > 0
         # What is only prepared leaves one cold load to what is asked for.
-        spared = int(reason in (ChangeReason.NEXT, ChangeReason.SPREAD))
-        may_be_cold = may_be_cold and self._cold_loads > spared
+        reserved = int(reason in (ChangeReason.NEXT, ChangeReason.SPREAD))
+        may_be_cold = may_be_cold and self._cold_loads > reserved
         for site in self._free.values():
             if model in site.inventory.models:
                 continue
@@ -226,47 +228,47 @@
                 continue
             options.append(change)
         if not options:
-            self.declined[model] = self._why_none(has_room=has_room)
+            self.declined[model] = self._decline_reason(has_room=has_room)
             return
         best = min(options, key=self._model_cost)
-        if best.is_cold and best.load_s > self._wait_s(spec):
-            self.declined[model] = Decline.COPY_SOON_FREE
+        if best.is_cold and best.load_s > self._copy_available_in_s(spec):
+            self.declined[model] = DeclineReason.COPY_SOON_FREE
             return
-        self._take(msgspec.structs.replace(best, reason=reason))
+        self._commit(msgspec.structs.replace(best, reason=reason))
 
     def without_replica(self, models: list[ModelName]) -> list[ModelName]:
         """Return those models, each once, that no endpoint holds or loads."""
         known = [m for m in dict.fromkeys(models) if m in self._view.engine.models]
-        return [model for model in known if not self._holdings.replicas(model)]
+        return [model for model in known if not self._residency.replicas(model)]
 
-    def kept(self) -> Counter[Kept]:
+    def retained(self) -> Counter[RetainReason]:
         """Return why the models of the free endpoints keep their places, for logs."""
         return Counter(
-            self._holdings.why_kept(site, model)
+            self._residency.retain_reason(site, model)
             for site in self._free.values()
             for model in site.inventory.models
         )
 
-    def _why_none(self, *, has_room: bool) -> Decline:
+    def _decline_reason(self, *, has_room: bool) -> DeclineReason:
         if not self._free:
-            return Decline.NO_FREE_ENDPOINT
-        return Decline.NO_COPY if has_room else Decline.NO_ROOM
+            return DeclineReason.NO_FREE_ENDPOINT
+        return DeclineReason.NO_COPY if has_room else DeclineReason.NO_ROOM
 
-    def _wait_s(self, spec: ModelSpec) -> float:
+    def _copy_available_in_s(self, spec: ModelSpec) -> float:
         """Return how soon an endpoint with a copy that is not free could have it.
 
         A cold load in its place would keep another endpoint busy for seconds, so
         that copies there can't be used either.
         """
-        waits_s = [
-            site.free_in_s + load_time(site.inventory, spec)[0] + WAIT_MARGIN_S
+        available_in_s = [
+            site.free_in_s + load_time(site.inventory, spec)[0] + CHANGE_MARGIN_S
             for site in self._view.sites
             if site.inventory.endpoint not in self._free
             and not site.overloaded
             and spec.name not in site.inventory.models
-            and site.inventory.keeps(spec.name)
+            and site.inventory.has_weights(spec.name)
         ]
-        return min(waits_s, default=math.inf)
+        return min(available_in_s, default=math.inf)
 
     def _model_change(
         self, site: Site, spec: ModelSpec, *, is_replica: bool
@@ -275,7 +277,9 @@
         load_s, is_cold = load_time(inventory, spec)
         free_mb = self._view.engine.weights_mb - used_mb(inventory, self._view.engine)
         victims: list[ModelName] = []
-        for victim in self._holdings.victims(site, spec.name, is_replica=is_replica):
+        for victim in self._residency.eviction_candidates(
+            site, spec.name, is_replica=is_replica
+        ):
             if free_mb >= spec.weights_mb:
                 break
             victims.append(victim)
@@ -293,15 +297,15 @@
     def _model_cost(self, change: Change) -> float:
         """Return the time until the model can be used, in seconds."""
         site = self._free[change.endpoint]
-        busy_s = BUSY_PENALTY_S * self._holdings.site_work(site)
-        lost = sum(map(self.outlook.demand, change.unload_models))
+        busy_s = BUSY_PENALTY_S * self._residency.site_work(site)
+        lost = sum(map(self.forecast.demand, change.unload_models))
         lost += sum(
-            RUNNING_DELAY_S
+            RUNNING_PENALTY_S
             for model in change.unload_models
             if site.endpoint.running(model)
         )
-        blocked_s = BLOCKED_SHARE * change.load_s * self._blocks_adapters(site)
-        copies_s = LOST_COPY_S * self._loses_only_copy(change)
+        blocked_s = ADAPTER_BLOCK_SHARE * change.load_s * self._blocks_adapters(site)
+        copies_s = LOST_COPY_PENALTY_S * self._loses_only_copy(change)
         return change.load_s + busy_s + lost + blocked_s + copies_s
 
     def _loses_only_copy(self, change: Change) -> bool:
@@ -313,7 +317,8 @@
         spec = self._view.engine.models[change.model]
         lost = lost_copies(site.inventory, spec, self._view.engine)
         return any(
-            not any(inventory.keeps(model) for inventory in others) for model in lost
+            not any(inventory.has_weights(model) for inventory in others)
+            for model in lost
         )
 
     def _blocks_adapters(self, site: Site) -> bool:
@@ -326,14 +331,14 @@
             model in site.inventory.models
             and self._has_adapters(model)
             and not any(model in other.inventory.models for other in others)
-            for model in self._holdings.expected
+            for model in self._residency.expected
         )
 
     def _has_adapters(self, model: ModelName) -> bool:
         spec = self._view.engine.models.get(model)
         return spec is not None and bool(spec.adapters)
 
-    def _take(self, change: Change) -> None:
-        self._holdings.take(change, self._free.pop(change.endpoint))
+    def _commit(self, change: Change) -> None:
+        self._residency.apply(change, self._free.pop(change.endpoint))
         self._cold_loads -= change.is_cold
         self.changes.append(change)
--- a/tests/placing/rare_world.py
+++ b/tests/placing/placement_simulation.py
@@ -16,8 +16,8 @@
 from chutelink.entry.endpoints import Endpoint, EndpointRecord, EndpointState
 from chutelink.entry.news import ModelUse
 from chutelink.placing.changes import Change, PlacementView, Site
+from chutelink.placing.cold_load_limiter import ColdLoadLimiter
 from chutelink.placing.inventory import EndpointReport, Inventory
-from chutelink.placing.pace import ColdLoadPace
 from chutelink.placing.placement import PlacementPolicy
 from chutelink.relaying.waiting import (
     RETRY_SHARE,
@@ -27,7 +27,7 @@
 )
 
 TICK_S = 0.05
-NEWS_S = 0.2
+DEMAND_REPORT_PERIOD_S = 0.2
 """How often a daemon tells of its demand."""
 WEIGHTS_MB = 70.0
 CAPACITY_MB = 230.0
@@ -36,13 +36,13 @@
 MEMORY_S = 0.6
 COPIES = 8
 """Copies of weights that an endpoint keeps on its disk."""
-CLOSE_LEAD_S = 0.03
+UNLOAD_NOTICE_S = 0.03
 READ_S = 0.03
 STREAM_S = 1.5
 BUSY_OBJECTIVE_S = 0.4
 RARE_OBJECTIVE_S = 5.0
 RARE_DEADLINE_S = 20.0
-LEAD_S = 12.0
+WARM_UP_S = 12.0
 """How long endpoints run before the first request."""
 LOADS_PER_S = 1.6
 LOADS_WINDOW_S = 5.0
@@ -75,7 +75,7 @@
     longest_s: float = 0.0
 
 
-class RareWorld:
+class PlacementSimulation:
     """Endpoints and requests under one policy.
 
     Parameters
@@ -108,11 +108,11 @@
         busy_per_s: float = 60.0,
         seed: int = 1,
         callers_retry: bool = True,
-        lead_s: float = LEAD_S,
+        warm_up_s: float = WARM_UP_S,
     ) -> None:
         self._policy = policy
         self._callers_retry = callers_retry
-        self._lead_s = lead_s
+        self._warm_up_s = warm_up_s
         self._rng = random.Random(seed)
         names = [f"m{number:02}" for number in range(models)]
         spec = {
@@ -126,14 +126,14 @@
         self._busy_per_s = busy_per_s
         self._rare_per_s = rare_per_s
         self._demand = DemandTable()
-        self._pace = ColdLoadPace(LOADS_PER_S, LOADS_WINDOW_S, LOADS_EXCESS)
+        self._limiter = ColdLoadLimiter(LOADS_PER_S, LOADS_WINDOW_S, LOADS_EXCESS)
         self._sites = [self._make_site(number) for number in range(endpoints)]
         self._changes: dict[str, tuple[Change, float | None]] = {}
         self._running: list[tuple[float, Endpoint, str]] = []
         self._waiting: list[_Waiting] = []
         self._arrivals: dict[str, int] = defaultdict(int)
         self._served: dict[str, int] = defaultdict(int)
-        self._next_news_s = 0.0
+        self._next_report_s = 0.0
         self.now_s = 0.0
         self.loads = 0
         self.denials: dict[str, Denial] = {}
@@ -150,15 +150,15 @@
 
     def run(self, time_s: float) -> None:
         """Let time pass, from the first request on."""
-        while self.now_s < self._lead_s + time_s:
+        while self.now_s < self._warm_up_s + time_s:
             self.now_s += TICK_S
             self._end_streams()
             self._carry_out()
-            if self.now_s > self._lead_s:
-                self._ask()
+            if self.now_s > self._warm_up_s:
+                self._generate_requests()
             self._serve_waiting()
-            if self.now_s >= self._next_news_s:
-                self._tell()
+            if self.now_s >= self._next_report_s:
+                self._report_demand()
             self._plan()
 
     def asked_all_day(self) -> dict[str, Denial]:
@@ -173,7 +173,7 @@
         """Return those of them that were never served."""
         return [name for name, d in self.asked_all_day().items() if not d.served]
 
-    def _ask(self) -> None:
+    def _generate_requests(self) -> None:
         busy = self._names[: len(BUSY_SHARES)]
         rare = self._names[len(BUSY_SHARES) :]
         for _ in range(self._count(self._busy_per_s)):
@@ -265,13 +265,13 @@
         ]
         return min(due, default=None)
 
-    def _tell(self) -> None:
-        self._next_news_s = self.now_s + NEWS_S
+    def _report_demand(self) -> None:
+        self._next_report_s = self.now_s + DEMAND_REPORT_PERIOD_S
         busy = self._names[: len(BUSY_SHARES)]
         counts: dict[str, int] = defaultdict(int)
         for waiting in self._waiting:
             counts[waiting.model] += 1
-        if self.now_s <= self._lead_s:
+        if self.now_s <= self._warm_up_s:
             return
         uses = [
             ModelUse(
@@ -298,7 +298,7 @@
             self._sites,
             dict(loading),
             self._demand,
-            self._pace.available(self.now_s),
+            self._limiter.available(self.now_s),
             self.now_s,
         )
         for change in self._policy.plan(view):
@@ -308,7 +308,7 @@
             self._changes[change.endpoint] = (change, None)
             self.loads += 1
             if change.is_cold:
-                self._pace.take(self.now_s)
+                self._limiter.record_start(self.now_s)
 
     def _site(self, name: str) -> Site:
         return next(s for s in self._sites if s.inventory.endpoint == name)
@@ -322,7 +322,7 @@
                 for model in change.unload_models:
                     site.inventory.models.pop(model, None)
                 site.endpoint.models = dict(site.inventory.models)
-                due_s = self.now_s + CLOSE_LEAD_S + change.load_s
+                due_s = self.now_s + UNLOAD_NOTICE_S + change.load_s
                 self._changes[name] = (change, due_s)
             elif self.now_s >= due_s:
                 self._finish(site, change)
--- a/tests/placing/placing_world.py
+++ b/tests/placing/placer_harness.py
@@ -26,7 +26,7 @@
 from ..fakes import make_core
 from .test_placement import make_engine
 
-NOBODY = "i-1"
+ENDPOINT_ID = "i-1"
 
 
 class ScriptedEngine(EngineClient):
@@ -83,7 +83,7 @@
         return OrderAnswer.ACCEPTED
 
 
-class Engines(EngineClient):
+class EngineRouter(EngineClient):
     """Several engines by the endpoint's id."""
 
     def __init__(self):
@@ -96,14 +96,14 @@
         return await self.by_id[endpoint.record.id].async_order(endpoint, order)
 
 
-class LivingProbe(EndingProbe):
+class AliveProbe(EndingProbe):
     """Finds each endpoint alive: those of these tests have no address."""
 
     async def async_probe(self, address):
         return ProbeResult.ACCEPTED
 
 
-class HeldLease:
+class FakeLease:
     """A lease that the test takes away."""
 
     def __init__(self):
@@ -117,15 +117,15 @@
         return self.term
 
 
-class World:
+class PlacerHarness:
     def __init__(self, models=("m0", "m7")):
         self.core = make_core()
         self.engine = ScriptedEngine(models)
-        self.engines = Engines()
+        self.engines = EngineRouter()
         self.table = EndpointTable()
-        self.add(NOBODY, self.engine)
+        self.add(ENDPOINT_ID, self.engine)
         self.demand = DemandTable()
-        self.lease = HeldLease()
+        self.lease = FakeLease()
         self.sent = []
         self.placer = Placer(
             self.core,
@@ -136,9 +136,9 @@
             HealthTable(),
             PendingTable(),
             DemandPlacement(),
-            self._keep,
+            self._record_sent,
         )
-        self.placer.probe = LivingProbe()
+        self.placer.probe = AliveProbe()
         service = SimpleNamespace(engine=make_engine())
         self.placer.config = SimpleNamespace(
             version=ConfigVersion(1), services={"llm": service}
@@ -153,7 +153,7 @@
         record = EndpointRecord(name, "llm", "1:1", "zone-a", ready, 8, held)
         self.table.put(record, 0.0)
 
-    def _keep(self, news):
+    def _record_sent(self, news):
         if isinstance(news, PlacementNews):
             self.sent.append(news)
 
@@ -173,7 +173,7 @@
         for _ in range(3):
             await self.async_tick()
 
-    def want(self, model, adapter=""):
+    def request_model(self, model, adapter=""):
         uses = [ModelUse(model, adapter, 2, 0.2, 1), ModelUse("m0", "", 9, 0.3, 0)]
         self.demand.take("d1", uses, self.core.now_s)
 
--- /dev/null
+++ b/tests/placing/test_cold_load_limiter.py
@@ -0,0 +1,41 @@
+"""How many loads from the weight store may begin."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from chutelink.placing.cold_load_limiter import ColdLoadLimiter
+
+RATE = 1.6
+WINDOW_S = 5.0
+EXCESS = 1.1
+ALLOWED = RATE * WINDOW_S * EXCESS + 3
+
+
+def make_limiter() -> ColdLoadLimiter:
+    return ColdLoadLimiter(RATE, WINDOW_S, EXCESS)
+
+
+def test_all_models_of_a_lost_endpoint_may_be_fetched_at_once():
+    assert make_limiter().available(0.0) >= 6
+
+
+def test_what_an_unknown_holder_began_counts_until_its_window_is_over():
+    limiter = make_limiter()
+    limiter.assume_full(10.0)
+    assert limiter.available(12.0) == 0
+    assert limiter.available(16.0) > 0
+
+
+@given(st.lists(st.floats(0, 2), max_size=60))
+def test_no_window_has_more_loads_than_allowed(pauses_s):
+    limiter = make_limiter()
+    now_s, started_s = 0.0, []
+    for pause_s in pauses_s:
+        now_s += pause_s
+        for _ in range(limiter.available(now_s)):
+            limiter.record_start(now_s)
+            started_s.append(now_s)
+    for first in started_s:
+        assert sum(first <= t <= first + WINDOW_S for t in started_s) <= ALLOWED
--- a/tests/placing/test_lease.py
+++ b/tests/placing/test_lease.py
@@ -11,9 +11,9 @@
 from chutelink.ids import FIRST_ERA, DaemonId
 from chutelink.placing.lease import (
     EXPIRY_S,
-    HOLD_S,
     KEY_LEASE,
-    RENEW_S,
+    RENEW_PERIOD_S,
+    VALIDITY_S,
     PlacerLease,
 )
 from chutelink.store import UNREADABLE, RowPage, Transaction, WatchedTable, Write
@@ -84,7 +84,7 @@
     first, second = (Contender(n, table, clock) for n in ("d1", "d2"))
     take(clock, first)
     assert first.may_order()
-    last_order_s = clock[0] + HOLD_S - RENEW_S
+    last_order_s = clock[0] + VALIDITY_S - RENEW_PERIOD_S
     while not second.may_order():
         advance(clock, [second], 0.1)
         assert clock[0] < 120.0
@@ -122,7 +122,7 @@
     second.lease.note_holder(DaemonId("d1"), first.lease.term)
     first.lease.is_leaving = True
     table.table.commit(Transaction("w", (), (Write(KEY_LEASE, UNREADABLE),)))
-    last_order_s = clock[0] + HOLD_S
+    last_order_s = clock[0] + VALIDITY_S
     while not second.may_order():
         assert clock[0] < last_order_s + 3 * EXPIRY_S + GAP_S
         advance(clock, [second], 0.1)
@@ -274,13 +274,13 @@
     take(clock, first)
     version = first.lease._version
     table.restore(copy)
-    clock[0] += HOLD_S + 0.2
+    clock[0] += VALIDITY_S + 0.2
     advance(clock, [second], EXPIRY_S + GAP_S)
     assert second.may_order()
     row = table.table.rows[KEY_LEASE]
     table.table.rows[KEY_LEASE] = msgspec.structs.replace(row, version=version)
     asyncio.run(first.lease._async_tick())
-    first.lease._held_until_s = clock[0] + HOLD_S
+    first.lease._valid_until_s = clock[0] + VALIDITY_S
     with pytest.raises(TransactionConflict):
         asyncio.run(first.lease._async_renew())
     assert not first.may_order()
@@ -289,5 +289,5 @@
 def test_a_frozen_holder_orders_nothing_when_it_wakes(clock, table):
     first = Contender("d1", table, clock)
     take(clock, first)
-    clock[0] += HOLD_S + 0.1
+    clock[0] += VALIDITY_S + 0.1
     assert not first.may_order()
--- a/tests/placing/test_lease_machine.py
+++ b/tests/placing/test_lease_machine.py
@@ -31,8 +31,8 @@
         self.frozen = set()
         self.cut = set()
         self.orders = []
-        self.are_yields_late = False
-        self.on_way = []
+        self.are_yields_delayed = False
+        self.undelivered = []
         self.pass_time(10, True)
 
     def _resolve(self, who):
@@ -53,27 +53,30 @@
         contender = self.contenders[name]
         contender.tick()
         self.table.is_out = was_out
-        self.on_way += [(name, news) for news in contender.sent]
+        self.undelivered += [(name, news) for news in contender.sent]
         contender.sent.clear()
-        if not self.are_yields_late:
+        if not self.are_yields_delayed:
             self.deliver_yields()
         if contender.lease.is_held:
-            self._hear(name)
+            self._deliver_beacon(name)
 
-    def _hear(self, name):
+    def _deliver_beacon(self, name):
         term = self.contenders[name].lease.term
         for other in self.contenders.values():
             other.lease.note_holder(name, term)
 
     @rule(steps=st.integers(1, 40), is_heard=st.booleans())
     def pass_time(self, steps, is_heard):
-        hear, self._hear = self._hear, self._hear if is_heard else lambda name: None
+        hear, self._deliver_beacon = (
+            self._deliver_beacon,
+            self._deliver_beacon if is_heard else lambda name: None,
+        )
         for _ in range(steps):
             self.clock[0] += STEP_S
             for name in NAMES:
                 self._tick(name)
             self.check_orders()
-        self._hear = hear
+        self._deliver_beacon = hear
 
     @rule(name=WHO)
     def freeze(self, name):
@@ -108,17 +111,17 @@
         self.table.deliver_late()
 
     @rule()
-    def make_yields_late(self):
-        self.are_yields_late = not self.are_yields_late
+    def toggle_yield_delay(self):
+        self.are_yields_delayed = not self.are_yields_delayed
 
     @rule()
     def deliver_yields(self):
         """Late ones may arrive after their holder has gone on."""
-        for sender, news in self.on_way:
+        for sender, news in self.undelivered:
             for name, contender in self.contenders.items():
                 if name not in (sender, *self.frozen):
                     contender.lease.take_yield(news)
-        self.on_way.clear()
+        self.undelivered.clear()
 
     @rule(name=WHO)
     def restart(self, name):
--- a/tests/placing/test_forecast.py
+++ b/tests/placing/test_load_forecast.py
@@ -10,10 +10,10 @@
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.news import ModelUse
 from chutelink.placing.changes import PlacementView
-from chutelink.placing.forecast import forecast_loads
+from chutelink.placing.load_forecast import forecast_loads
 from chutelink.placing.placement import DemandPlacement
 
-from .placing_world import NOBODY, World, run, skip_pauses
+from .placer_harness import ENDPOINT_ID, PlacerHarness, run, skip_pauses
 from .test_placement import make_engine, make_site
 
 
@@ -60,15 +60,15 @@
     skip_pauses(monkeypatch)
 
     async def async_test():
-        world = World()
-        await world.async_start()
-        world.want("m1")
-        world.want("m2")
-        await world.async_tick(0.1)
-        queued = [load for news in world.sent for load in news.queued]
-        loading = {load.model for news in world.sent for load in news.loads}
+        harness = PlacerHarness()
+        await harness.async_start()
+        harness.request_model("m1")
+        harness.request_model("m2")
+        await harness.async_tick(0.1)
+        queued = [load for news in harness.sent for load in news.queued]
+        loading = {load.model for news in harness.sent for load in news.loads}
         assert queued
         assert all(load.ready_in_s > 0 for load in queued)
-        assert NOBODY in world.table.rows and loading
+        assert ENDPOINT_ID in harness.table.rows and loading
 
     run(async_test)
--- a/tests/placing/test_overload.py
+++ b/tests/placing/test_overload.py
@@ -9,7 +9,7 @@
 from chutelink.limits.const import DOUBTFUL_S
 from chutelink.placing.overload import mark_overloaded
 
-from .placing_world import NOBODY, ScriptedEngine, World, run, skip_pauses
+from .placer_harness import ENDPOINT_ID, PlacerHarness, ScriptedEngine, run, skip_pauses
 from .test_placement import make_site
 
 ARRIVALS = 6
@@ -73,17 +73,17 @@
 
 def test_a_model_whose_endpoint_names_a_limit_is_loaded_elsewhere():
     async def async_test():
-        world = World(("m0", "m5"))
+        harness = PlacerHarness(("m0", "m5"))
         others = [ScriptedEngine(("m7",)), ScriptedEngine(("m6",))]
         for number, engine in enumerate(others):
-            world.add(f"i-{number + 2}", engine)
-        await world.async_start()
+            harness.add(f"i-{number + 2}", engine)
+        await harness.async_start()
         for _ in range(6):
-            world.table.rows[NOBODY].limit.note(0.5, world.core.now_s)
+            harness.table.rows[ENDPOINT_ID].limit.note(0.5, harness.core.now_s)
             uses = [ModelUse("m5", "", 1, 0.05, 1), ModelUse("m0", "", 20, 0.3, 0)]
-            world.demand.take("d1", uses, world.core.now_s)
-            await world.async_tick(0.5)
+            harness.demand.take("d1", uses, harness.core.now_s)
+            await harness.async_tick(0.5)
         assert any("m5" in engine.models for engine in others)
-        assert "m5" in world.engine.models
+        assert "m5" in harness.engine.models
 
     run(async_test)
--- a/tests/placing/test_placement.py
+++ b/tests/placing/test_placement.py
@@ -10,11 +10,11 @@
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.endpoints import Endpoint, EndpointRecord, EndpointState
 from chutelink.entry.news import ModelUse
+from chutelink.placing.capacity import used_mb
 from chutelink.placing.changes import ChangeReason, PlacementView, Site
-from chutelink.placing.holdings import Holdings
 from chutelink.placing.inventory import EndpointReport, Inventory
 from chutelink.placing.placement import DemandPlacement, StaticPlacement
-from chutelink.placing.room import used_mb
+from chutelink.placing.residency import ModelResidency
 
 MODELS = tuple(f"m{number}" for number in range(8))
 ADAPTERS = ("a1", "a2", "a3")
@@ -301,7 +301,10 @@
         uses = [busy, ModelUse(model, "", 1, 0.1, waiting)]
         view.demand.take("d1", uses, at_s)
     later = msgspec.structs.replace(view, now_s=102.0)
-    assert Holdings(later).victims(site, "m4", is_replica=False) == ["m5", "m6"]
+    assert ModelResidency(later).eviction_candidates(site, "m4", is_replica=False) == [
+        "m5",
+        "m6",
+    ]
 
 
 def test_an_adapter_that_requests_wait_for_does_not_give_way_to_the_next_one():
--- a/tests/placing/test_rare_models.py
+++ b/tests/placing/test_rare_models.py
@@ -22,7 +22,7 @@
 from chutelink.placing.changes import PlacementView
 from chutelink.placing.placement import DemandPlacement
 
-from .rare_world import RareWorld
+from .placement_simulation import PlacementSimulation
 from .test_placement import make_engine, make_site
 
 DAY_S = 34.0
@@ -34,13 +34,15 @@
 """What the operators allow beyond one, of models asked for all day."""
 
 
-def make_impatient_world(rare_per_s: float, seed: int) -> RareWorld:
-    return RareWorld(
+def make_simulation_without_retries(
+    rare_per_s: float, seed: int
+) -> PlacementSimulation:
+    return PlacementSimulation(
         DemandPlacement(),
         rare_per_s=rare_per_s,
         seed=seed,
         callers_retry=False,
-        lead_s=0.0,
+        warm_up_s=0.0,
     )
 
 
@@ -48,9 +50,11 @@
 def test_no_model_that_is_asked_for_all_day_is_never_served(rare_per_s):
     never = {}
     for seed in SEEDS:
-        world = RareWorld(DemandPlacement(), rare_per_s=rare_per_s, seed=seed)
-        world.run(DAY_S)
-        never[seed] = world.never_served()
+        simulation = PlacementSimulation(
+            DemandPlacement(), rare_per_s=rare_per_s, seed=seed
+        )
+        simulation.run(DAY_S)
+        never[seed] = simulation.never_served()
     assert not any(never.values()), never
 
 
@@ -59,9 +63,9 @@
     """Callers that are rejected don't retry, and there is no time before the first."""
     never = {}
     for seed in SEEDS:
-        world = make_impatient_world(rare_per_s, seed)
-        world.run(DAY_S)
-        never[seed] = world.never_served()
+        simulation = make_simulation_without_retries(rare_per_s, seed)
+        simulation.run(DAY_S)
+        never[seed] = simulation.never_served()
     assert not any(never.values()), never
 
 
@@ -70,18 +74,18 @@
     """The same on other days: what is clean on six of them may be so by chance."""
     never = {}
     for seed in MORE_SEEDS:
-        world = make_impatient_world(rare_per_s, seed)
-        world.run(DAY_S)
-        never[seed] = world.never_served()
+        simulation = make_simulation_without_retries(rare_per_s, seed)
+        simulation.run(DAY_S)
+        never[seed] = simulation.never_served()
     assert not any(never.values()), never
 
 
 def test_few_are_never_served_where_callers_give_up_and_come_at_once():
     for seed in range(12):
-        world = make_impatient_world(5.0, seed)
-        world.run(DAY_S)
-        asked = world.asked_all_day()
-        assert len(world.never_served()) <= 1 + MAX_NEVER_SHARE * len(asked), seed
+        simulation = make_simulation_without_retries(5.0, seed)
+        simulation.run(DAY_S)
+        asked = simulation.asked_all_day()
+        assert len(simulation.never_served()) <= 1 + MAX_NEVER_SHARE * len(asked), seed
 
 
 def test_with_more_demand_than_places_few_are_never_served():
@@ -91,10 +95,10 @@
     denied the longest is loaded next.
     """
     for seed in range(12):
-        world = RareWorld(DemandPlacement(), rare_per_s=5.0, seed=seed)
-        world.run(DAY_S)
-        asked = world.asked_all_day()
-        assert len(world.never_served()) <= 1 + MAX_NEVER_SHARE * len(asked), seed
+        simulation = PlacementSimulation(DemandPlacement(), rare_per_s=5.0, seed=seed)
+        simulation.run(DAY_S)
+        asked = simulation.asked_all_day()
+        assert len(simulation.never_served()) <= 1 + MAX_NEVER_SHARE * len(asked), seed
 
 
 def test_what_was_denied_the_longest_is_loaded_first():
