--- a/chutelink/placing/announcer.py
+++ b/chutelink/placing/announcer.py
@@ -1,4 +1,4 @@
-"""Tell all daemons what endpoints hold, and that there is a placer."""
+"""Announce to all daemons what endpoints hold and that the placer is alive."""
 
 from __future__ import annotations
 
@@ -17,22 +17,25 @@
 from .inventory import Inventory
 
 ANNOUNCE_PERIOD_S = 0.4
-"""The holder's sign of life; three are missed before others look at the lease."""
-TELL_ALL_PERIOD_S = 5.0
-"""How often everything is told again, for daemons that have just started."""
+"""Interval of the holder's beacon.
+
+Other daemons check the lease after three missed beacons.
+"""
+FULL_ANNOUNCE_PERIOD_S = 5.0
+"""Interval of full announcements, for daemons that have just started."""
 
 
 class Announcer:
-    """Sends what has changed, and now and then everything.
+    """Announces placement changes, and periodically the full placement.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The daemon's shared services.
     table : EndpointTable
-        The endpoints, as this daemon serves from them.
+        The endpoints that this daemon routes requests to.
     send : callable
-        Tells all daemons, this one included.
+        Broadcasts a message to all daemons, including this one.
     """
 
     def __init__(
@@ -44,13 +47,16 @@
         self._core = core
         self._table = table
         self._send = send
-        self._told: dict[EndpointId, EndpointPlacement] = {}
-        self._told_all_s = float("-inf")
-        self._beacon_s = float("-inf")
+        self._announced: dict[EndpointId, EndpointPlacement] = {}
+        self._full_announced_s = float("-inf")
+        self._beacon_sent_s = float("-inf")
+
+    def reset(self) -> None:
+        """Make the next announcement a full one.
 
-    def forget(self) -> None:
-        """Tell everything next: others may have told something else since."""
-        self._told.clear()
+        Another holder may have announced a different placement since.
+        """
+        self._announced.clear()
 
     def announce(
         self,
@@ -59,21 +65,21 @@
         loads: list[PendingLoad],
         queued: list[QueuedLoad],
     ) -> None:
-        """Tell of endpoints that have changed and of loads on their way or queued."""
+        """Announce changed endpoints and the loads in progress or queued."""
         now_s = self._core.clock()
         daemon = self._core.daemon_id
         placements = self._changed(inventories)
         self._send(PlacementNews(daemon, term, placements, loads, queued))
-        if now_s - self._beacon_s >= ANNOUNCE_PERIOD_S:
-            self._beacon_s = now_s
+        if now_s - self._beacon_sent_s >= ANNOUNCE_PERIOD_S:
+            self._beacon_sent_s = now_s
             self._send(PlacerBeacon(daemon, term))
 
     def _changed(self, inventories: Iterable[Inventory]) -> list[EndpointPlacement]:
-        """Return what endpoints hold, as far as it was not told lately."""
+        """Return placements that differ from the last announced ones."""
         now_s = self._core.clock()
-        if now_s - self._told_all_s >= TELL_ALL_PERIOD_S:
-            self._told_all_s = now_s
-            self._told.clear()
+        if now_s - self._full_announced_s >= FULL_ANNOUNCE_PERIOD_S:
+            self._full_announced_s = now_s
+            self._announced.clear()
         changed = []
         for inventory in inventories:
             row = self._table.rows.get(inventory.endpoint)
@@ -87,7 +93,7 @@
             placement = EndpointPlacement(
                 inventory.endpoint, row.sequence, models, row.record.born_ms
             )
-            if self._told.get(inventory.endpoint) != placement:
-                self._told[inventory.endpoint] = placement
+            if self._announced.get(inventory.endpoint) != placement:
+                self._announced[inventory.endpoint] = placement
                 changed.append(placement)
         return changed
--- a/chutelink/placing/placement.py
+++ b/chutelink/placing/placement.py
@@ -1,7 +1,7 @@
-"""Decide which models and adapters endpoints should load and give up.
+"""Placement policies: decide which models and adapters endpoints load and unload.
 
-Pure: works on tables, with the time passed in. A policy returns changes, each
-for an endpoint that carries out nothing else.
+Pure: policies work on tables and get the time passed in. They return at most one change
+per endpoint, and only for endpoints without a change in progress.
 """
 
 from __future__ import annotations
@@ -10,76 +10,76 @@
 from collections import Counter
 
 from ..ids import ModelName
-from .changes import Change, Decline, PlacementView
-from .holdings import RECENT_S, Kept
-from .rounds import PlacementRound
+from .changes import Change, DeclineReason, PlacementView
+from .planner import PlacementPlanner
+from .residency import RECENT_S, RetainReason
 
 
 class PlacementPolicy(ABC):
-    """Decides on changes.
+    """Base class of placement policies.
 
-    ``declined`` says why others were not made, ``kept`` for what reasons how many
-    models kept their places at the endpoints that got no change, ``queued`` which
-    models without a replica are loaded next, in their order.
+    After a plan, ``declined`` contains the reasons for loads that were not planned,
+    ``retained`` how many models stayed on endpoints without a change, by reason, and
+    ``queued`` the models without a replica in the order in which to load them next.
     """
 
     def __init__(self) -> None:
-        self.declined: dict[ModelName, Decline] = {}
-        self.kept: Counter[Kept] = Counter()
+        self.declined: dict[ModelName, DeclineReason] = {}
+        self.retained: Counter[RetainReason] = Counter()
         self.queued: list[ModelName] = []
 
     @abstractmethod
     def plan(self, view: PlacementView) -> list[Change]:
-        """Return changes to begin now."""
+        """Return the changes to start now."""
 
 
 class StaticPlacement(PlacementPolicy):
-    """Baseline: leaves everything as it was found."""
+    """Baseline policy that never changes anything."""
 
     def plan(self, view: PlacementView) -> list[Change]:
-        """Return nothing."""
+        """Return no changes."""
         return []
 
 
 class DemandPlacement(PlacementPolicy):
-    """Loads what is asked for and not held, and adds replicas of busy models."""
+    """Loads requested models that no endpoint holds and replicates busy models."""
 
     def plan(self, view: PlacementView) -> list[Change]:
-        """Return changes, the most urgent first; one for each endpoint."""
-        round_ = PlacementRound(view)
+        """Return changes, most urgent first, at most one per endpoint."""
+        planner = PlacementPlanner(view)
         waiting = view.demand.waiting(view.now_s)
-        denied_s = round_.denied_s
+        denied_s = planner.denied_s
         wanted = sorted(waiting, key=lambda key: -waiting[key])
-        busy = [key for key in wanted if key[0] in round_.outlook.active]
-        rare = [key for key in wanted if key[0] not in round_.outlook.active]
+        busy = [key for key in wanted if key[0] in planner.forecast.active]
+        rare = [key for key in wanted if key[0] not in planner.forecast.active]
         rare.sort(key=lambda key: -denied_s.get(key, 0.0))
         rejected = [key for key in denied_s if key not in waiting]
         rejected.sort(key=lambda key: -denied_s[key])
         recent = view.demand.recent(view.now_s, RECENT_S)
         for model, adapter in busy:
-            round_.make_wanted(model, adapter)
-        for model in round_.outlook.active:
-            round_.pair(model)
+            planner.load_requested(model, adapter)
+        for model in planner.forecast.active:
+            planner.add_second_replica(model)
         for model in recent:
-            round_.add_replica(model)
+            planner.add_replica(model)
         for model, adapter in rare:
-            round_.make_wanted(model, adapter)
-        # Callers that were rejected come back, or others do.
+            planner.load_requested(model, adapter)
+        # Rejected callers retry, or others request the same model.
         for model, _ in rejected:
-            round_.make_resident(model)
+            planner.ensure_resident(model)
         for model in recent:
-            round_.make_resident(model)
-        # What may be asked for comes after what requests wait for.
-        for model in round_.outlook.expected():
-            round_.reserve(model)
-        for model in round_.next_models():
-            round_.prepare(model)
-        for model in round_.outlook.active:
-            round_.add_adapters(model)
-        if round_.may_spread():
+            planner.ensure_resident(model)
+        # Forecast demand comes after waiting requests.
+        for model in planner.forecast.expected():
+            planner.preload_second_replica(model)
+        for model in planner.upcoming_models():
+            planner.preload(model)
+        for model in planner.forecast.active:
+            planner.add_adapters(model)
+        if planner.may_prefetch():
             for model in view.engine.models:
-                round_.spread(model)
-        self.queued = round_.without_replica([model for model, _ in (*busy, *rare)])
-        self.declined = round_.declined
-        self.kept = round_.kept() if round_.declined else Counter()
-        return round_.changes
+                planner.prefetch(model)
+        self.queued = planner.without_replica([model for model, _ in (*busy, *rare)])
+        self.declined = planner.declined
+        self.retained = planner.retained() if planner.declined else Counter()
+        return planner.changes
--- a/chutelink/placing/placer.py
+++ b/chutelink/placing/placer.py
@@ -1,4 +1,4 @@
-"""Carry out placement: read reports, plan, send orders, tell the others."""
+"""The placer service: read reports, plan, send orders and announce placements."""
 
 from __future__ import annotations
 
@@ -18,59 +18,60 @@
 from ..learning.health import HealthTable
 from ..quarantine.probe import ConnectProbe, EndingProbe, ProbeResult
 from .announcer import ANNOUNCE_PERIOD_S, Announcer
-from .board import LoadBoard
+from .change_tracker import ChangeTracker
 from .changes import Change, PlacementView, Site
-from .declined import DeclineLog
-from .forecast import forecast_loads
+from .cold_load_limiter import ColdLoadLimiters
+from .decline_log import DeclineLog
 from .inventory import EngineClient, Inventory
 from .lease import PlacerLease
-from .loadpause import LoadPauses
-from .orders import CLOSE_LEAD_S, OrderDesk
+from .load_backoff import LoadBackoff
+from .load_forecast import forecast_loads
+from .orders import UNLOAD_NOTICE_S, OrderSender
 from .overload import mark_overloaded
-from .pace import ColdLoadPaces
 from .placement import PlacementPolicy
 
 TICK_S = 0.05
-DOUBT_PERIOD_S = 0.15
-"""Shortest time between two reports of an endpoint that others can't reach."""
+RECHECK_PERIOD_S = 0.15
+"""Minimum interval between reports of an endpoint that other daemons can't reach."""
 DOWN_RETRY_S = 0.4
-"""How often an endpoint that does not answer is asked again."""
+"""Interval at which an endpoint that does not respond is polled."""
 REPORT_PERIOD_S = 4.0
-"""Reports are charged for, and orders keep the inventory up to date.
+"""Interval of reports; it is long because each report is charged.
 
-One that is gone shows by lost requests, or its registration, which lapses by then.
+Orders keep the inventory up to date in between. The loss of an endpoint shows in failed
+requests, or in its registration, which expires within this time.
 """
-BUSY_PERIOD_S = 0.3
-"""How often an endpoint is asked whose order is not seen to be done yet."""
+BUSY_REPORT_PERIOD_S = 0.3
+"""Interval of reports while an endpoint is busy or its last report is outdated."""
 FIRST_TERM = 1
-"""Before it there was no holder."""
-FAILED_PAUSE_S = 0.3
-"""Pause before anything else is ordered where an order failed."""
+"""The lowest term; it has no previous holder."""
+FAILED_CHANGE_DELAY_S = 0.3
+"""Delay before an endpoint gets another change after a failed one."""
 
 
 class Placer(Service):
-    """Acts while this daemon holds the lease.
+    """Plans and executes placement changes while this daemon holds the lease.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The daemon's shared services.
     lease : PlacerLease
-        Says whether orders may be sent.
+        Determines whether orders may be sent.
     client : EngineClient
-        Speaks to endpoints.
+        Client for reports and orders.
     table : EndpointTable
         The endpoints.
     demand : DemandTable
-        What is asked for.
+        Request rates and waiting requests.
     health : HealthTable
-        How endpoints have answered lately.
+        Recent response behavior of endpoints.
     pending : PendingTable
-        Loads that were announced, by former holders too.
+        Announced loads, including those of previous lease holders.
     policy : PlacementPolicy
-        Decides.
+        Plans changes.
     send : callable
-        Tells all daemons, this one included.
+        Broadcasts a message to all daemons, including this one.
     """
 
     def __init__(
@@ -88,35 +89,35 @@
         super().__init__()
         self._core = core
         self._lease = lease
-        self._desk = OrderDesk(core, lease, client, table, self._engine_of)
+        self._order_sender = OrderSender(core, lease, client, table, self._engine_of)
         self._table = table
         self._demand = demand
         self._health = health
         self._policy = policy
         self._announcer = Announcer(core, table, send)
         self._inventories: dict[EndpointId, Inventory] = {}
-        self._board = LoadBoard(pending)
-        self.paces = ColdLoadPaces(core, pending)
+        self._tracker = ChangeTracker(pending)
+        self.paces = ColdLoadLimiters(core, pending)
         self._announced_s = float("-inf")
         self._wake = asyncio.Event()
-        self._declined = DeclineLog(core)
-        self._pauses = LoadPauses()
+        self._decline_log = DeclineLog(core)
+        self._load_backoff = LoadBackoff()
         self.probe: EndingProbe = ConnectProbe()
         self._term = 0
         self.config: RoutingConfig | None = None
 
     def wake(self) -> None:
-        """Plan at once."""
+        """Trigger the next planning pass immediately."""
         self._wake.set()
 
     def doubt(self, endpoints: list[EndpointId]) -> None:
-        """Ask endpoints again that others can't reach, if that was not just done."""
+        """Poll endpoints that other daemons can't reach, unless just polled."""
         now_s = self._core.clock()
         for endpoint in endpoints:
             inventory = self._inventories.get(endpoint)
             if inventory is None or inventory.is_down or inventory.is_changing:
                 continue
-            if now_s - inventory.read_s > DOUBT_PERIOD_S:
+            if now_s - inventory.read_s > RECHECK_PERIOD_S:
                 inventory.read_s = float("-inf")
                 self.wake()
 
@@ -147,12 +148,12 @@
             self.announce()
 
     def _start_term(self) -> None:
-        """Forget what an earlier term knew: others may have sent orders since."""
+        """Discard state of an earlier term, as other holders may have sent orders."""
         self._term = self._lease.term
         self._inventories.clear()
-        self._board.clear()
+        self._tracker.clear()
         self.paces.clear()
-        self._announcer.forget()
+        self._announcer.reset()
 
     def _engine_of(self, service: ServiceName) -> EngineSpec | None:
         spec = self.config.services.get(service)
@@ -180,24 +181,24 @@
             del self._inventories[endpoint]
 
     def _read_reports(self) -> None:
-        """Ask the endpoints whose last report is old; each in a task of its own."""
+        """Poll the endpoints whose last report is old, each in a separate task."""
         now_s = self._core.clock()
         for inventory in self._inventories.values():
-            is_soon = inventory.is_busy or inventory.is_behind
-            period_s = BUSY_PERIOD_S if is_soon else REPORT_PERIOD_S
+            is_urgent = inventory.is_busy or inventory.is_outdated
+            period_s = BUSY_REPORT_PERIOD_S if is_urgent else REPORT_PERIOD_S
             if inventory.is_changing or now_s - inventory.read_s < period_s:
                 continue
-            if now_s < inventory.avoid_until_s:
+            if now_s < inventory.retry_after_s:
                 continue
             inventory.is_changing = True
             self.add_future(self._async_refresh(inventory))
 
     async def _async_refresh(self, inventory: Inventory) -> None:
         try:
-            await self._desk.async_report(inventory)
+            await self._order_sender.async_report(inventory)
         except ChutelinkError as error:
             inventory.is_down = True
-            inventory.avoid_until_s = self._core.clock() + DOWN_RETRY_S
+            inventory.retry_after_s = self._core.clock() + DOWN_RETRY_S
             self._core.events.record(
                 "report_failed", endpoint=inventory.endpoint, error=error
             )
@@ -209,9 +210,9 @@
         now_s = self._core.clock()
         sites = mark_overloaded(self._sites(service), self._demand, now_s)
         if not sites or not all(site.inventory.is_known for site in sites):
-            # What an endpoint holds that has not reported would be loaded again.
+            # Models on endpoints that have not reported would be loaded again.
             return
-        pace = self.paces.get(
+        limiter = self.paces.get(
             service,
             engine.cold_loads_per_s,
             is_first_term=self._term == FIRST_TERM,
@@ -219,22 +220,22 @@
         view = PlacementView(
             engine=engine,
             sites=sites,
-            loading=self._board.loading(self._inventories),
+            loading=self._tracker.loading(self._inventories),
             demand=self._demand,
-            cold_loads=pace.available(now_s),
+            cold_loads=limiter.available(now_s),
             now_s=now_s,
-            paused=self._pauses.paused(now_s),
+            paused=self._load_backoff.paused_models(now_s),
         )
         for change in self._policy.plan(view):
             if change.is_cold:
-                pace.take(now_s)
-            self._begin(change)
+                limiter.record_start(now_s)
+            self._start_change(change)
         forecast_s = forecast_loads(view, self._policy.queued)
-        self._board.set_queue(service, forecast_s, now_s)
-        self._declined.note(view, self._policy.declined, self._policy.kept)
+        self._tracker.set_queued(service, forecast_s, now_s)
+        self._decline_log.log(view, self._policy.declined, self._policy.retained)
 
     def _sites(self, service: ServiceName) -> list[Site]:
-        """Return the endpoints that answer, with what is known of each."""
+        """Return the service's responsive endpoints with their known state."""
         sites = []
         for row in self._table.of_service(service, self._core.clock()):
             endpoint = row.record.id
@@ -242,16 +243,16 @@
             if inventory is None or inventory.is_down:
                 continue
             paused_share = self._health.paused_share(endpoint)
-            free_in_s = self._board.free_in_s(inventory, self._core.clock())
+            free_in_s = self._tracker.free_in_s(inventory, self._core.clock())
             sites.append(Site(row, inventory, paused_share, free_in_s))
         return sites
 
-    def _begin(self, change: Change) -> None:
+    def _start_change(self, change: Change) -> None:
         inventory = self._inventories[change.endpoint]
         inventory.is_changing = True
-        unload_s = CLOSE_LEAD_S * bool(change.unload_models)
+        unload_s = UNLOAD_NOTICE_S * bool(change.unload_models)
         ready_s = self._core.clock() + change.load_s + unload_s
-        self._board.begin(change, ready_s)
+        self._tracker.begin(change, ready_s)
         self._core.events.record(
             "placement_begun",
             endpoint=change.endpoint,
@@ -265,22 +266,22 @@
             sequence=inventory.sequence,
             term=self._term,
         )
-        self.add_future(self._async_carry_out(change, inventory))
+        self.add_future(self._async_execute(change, inventory))
 
-    async def _async_carry_out(self, change: Change, inventory: Inventory) -> None:
+    async def _async_execute(self, change: Change, inventory: Inventory) -> None:
         row = self._table.rows.get(change.endpoint)
         try:
             if row is not None:
                 row.closing = frozenset(change.unload_models)
                 self.announce()
-                await self._desk.async_carry_out(change, inventory, row)
-                self._pauses.note_loaded(change.model)
+                await self._order_sender.async_execute(change, inventory, row)
+                self._load_backoff.record_success(change.model)
         except ChutelinkError as error:
-            inventory.avoid_until_s = self._core.clock() + FAILED_PAUSE_S
+            inventory.retry_after_s = self._core.clock() + FAILED_CHANGE_DELAY_S
             inventory.read_s = float("-inf")
-            has_ended = await self._async_has_ended(row)
+            has_ended = await self._async_has_exited(row)
             if has_ended:
-                self._pauses.note_ended(change.model, self._core.clock())
+                self._load_backoff.record_exit(change.model, self._core.clock())
             self._core.events.record(
                 "placement_failed",
                 endpoint=change.endpoint,
@@ -292,15 +293,16 @@
         finally:
             if row is not None:
                 row.closing = frozenset()
-            self._board.end(change)
+            self._tracker.end(change)
             inventory.is_changing = False
         self.announce()
         self.wake()
 
-    async def _async_has_ended(self, row: Endpoint) -> bool:
-        """Return whether the process has ended that was to carry out a change.
+    async def _async_has_exited(self, row: Endpoint) -> bool:
+        """Return whether the endpoint process that was executing a change has exited.
 
-        One that has said that it leaves, or vanished and lives, has ended nothing.
+        An endpoint that announced its departure, or that is unregistered but still
+        accepts connections, does not count as exited.
         """
         if self._table.is_replaced(row.record):
             return True
@@ -310,7 +312,7 @@
         return result is ProbeResult.REFUSED
 
     def announce(self) -> None:
-        """Tell all daemons what endpoints hold and what is on its way."""
+        """Announce to all daemons what endpoints hold and which loads are pending."""
         if not self._lease.is_held:
             return
         now_s = self._core.clock()
@@ -318,6 +320,6 @@
         self._announcer.announce(
             self._term,
             self._inventories.values(),
-            self._board.pending_loads(now_s),
-            self._board.queued_loads(now_s),
+            self._tracker.pending_loads(now_s),
+            self._tracker.queued_loads(now_s),
         )
--- a/tests/placing/placing_world.py
+++ b/tests/placing/placer_harness.py
@@ -1,4 +1,4 @@
-"""Engine stand-ins that fail as a test says, and a placer in front of them."""
+"""A placer with fake engines that fail as a test specifies."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from ..fakes import make_core
 from .test_placement import make_engine
 
-NOBODY = "i-1"
+ENDPOINT_ID = "i-1"
 
 
 class ScriptedEngine(EngineClient):
-    """An engine whose answers can be lost, late or refused."""
+    """An engine whose responses can be lost, delayed or rejected."""
 
     def __init__(self, models):
         self.models = {name: set() for name in models}
@@ -83,8 +83,8 @@
         return OrderAnswer.ACCEPTED
 
 
-class Engines(EngineClient):
-    """Several engines by the endpoint's id."""
+class EngineRouter(EngineClient):
+    """Forwards reports and orders to several engines, by endpoint ID."""
 
     def __init__(self):
         self.by_id = {}
@@ -96,15 +96,15 @@
         return await self.by_id[endpoint.record.id].async_order(endpoint, order)
 
 
-class LivingProbe(EndingProbe):
-    """Finds each endpoint alive: those of these tests have no address."""
+class AliveProbe(EndingProbe):
+    """Reports every endpoint as alive, because the fake ones have no address."""
 
     async def async_probe(self, address):
         return ProbeResult.ACCEPTED
 
 
-class HeldLease:
-    """A lease that the test takes away."""
+class FakeLease:
+    """A lease that a test can revoke."""
 
     def __init__(self):
         self.is_held = True
@@ -117,15 +117,15 @@
         return self.term
 
 
-class World:
+class PlacerHarness:
     def __init__(self, models=("m0", "m7")):
         self.core = make_core()
         self.engine = ScriptedEngine(models)
-        self.engines = Engines()
+        self.engines = EngineRouter()
         self.table = EndpointTable()
-        self.add(NOBODY, self.engine)
+        self.add(ENDPOINT_ID, self.engine)
         self.demand = DemandTable()
-        self.lease = HeldLease()
+        self.lease = FakeLease()
         self.sent = []
         self.placer = Placer(
             self.core,
@@ -136,9 +136,9 @@
             HealthTable(),
             PendingTable(),
             DemandPlacement(),
-            self._keep,
+            self._record_sent,
         )
-        self.placer.probe = LivingProbe()
+        self.placer.probe = AliveProbe()
         service = SimpleNamespace(engine=make_engine())
         self.placer.config = SimpleNamespace(
             version=ConfigVersion(1), services={"llm": service}
@@ -153,7 +153,7 @@
         record = EndpointRecord(name, "llm", "1:1", "zone-a", ready, 8, held)
         self.table.put(record, 0.0)
 
-    def _keep(self, news):
+    def _record_sent(self, news):
         if isinstance(news, PlacementNews):
             self.sent.append(news)
 
@@ -169,17 +169,17 @@
             await self.tasks.pop(0)
 
     async def async_start(self):
-        """Read the reports, then let cold loads be earned."""
+        """Read the reports and let enough time pass for cold loads to be allowed."""
         for _ in range(3):
             await self.async_tick()
 
-    def want(self, model, adapter=""):
+    def request_model(self, model, adapter=""):
         uses = [ModelUse(model, adapter, 2, 0.2, 1), ModelUse("m0", "", 9, 0.3, 0)]
         self.demand.take("d1", uses, self.core.now_s)
 
 
 def skip_pauses(monkeypatch) -> None:
-    """Let no time pass between an order and the look at what became of it."""
+    """Replace sleeps between an order and the check of its outcome."""
 
     async def async_sleep(seconds):
         return None
