--- a/chutelink/relaying/__init__.py
+++ b/chutelink/relaying/__init__.py
@@ -1,1 +1,1 @@
-"""Requests on their way: the choice of endpoints, attempts and answers."""
+"""Relaying of requests: endpoint selection, attempts and responses."""
--- a/chutelink/relaying/backpressure.py
+++ b/chutelink/relaying/backpressure.py
@@ -1,4 +1,4 @@
-"""Keep requests to the limits and the pauses that endpoints request."""
+"""Enforce the rate limits and pauses that endpoints request."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from .exchange import Exchange
 
 SEND_MARGIN_S = 0.1
-"""What is left for the way to the endpoint and for what was told late."""
+"""Reserve for the network path to the endpoint and for delayed state updates."""
 
 
 class BackPressureGate:
-    """Lets a request through to an endpoint when that takes it.
+    """Admits a request to an endpoint when the endpoint accepts requests.
 
-    Endpoints with a limit need a permit, and those that requested a pause get nothing
-    until it is over.
+    Requests to an endpoint with a rate limit need a permit. An endpoint that requested
+    a pause gets no requests until the pause is over.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns this object.
     table : EndpointTable
         The endpoints.
     permits : PermitDesk
@@ -37,11 +37,14 @@
         self._table = table
         self._permits = permits
 
-    def open_rows(self, rows: list[Endpoint], exchange: Exchange) -> list[Endpoint]:
-        """Return the endpoints that may take a request in time.
+    def available_rows(
+        self, rows: list[Endpoint], exchange: Exchange
+    ) -> list[Endpoint]:
+        """Return the endpoints that may accept a request in time.
 
-        Those without a limit first, and those whose limit may have been lifted: the
-        permits of the others are for requests that only they can serve.
+        Endpoints without a limit, and those whose limit may have been lifted, are
+        preferred: the permits of the others are kept for requests that only they can
+        serve.
         """
         now_s = self._core.clock()
         latest_s = now_s + self._max_delay_s(exchange, now_s)
@@ -58,9 +61,9 @@
         return first or rows
 
     async def async_admit(self, exchange: Exchange, row: Endpoint) -> bool:
-        """Wait for a permit if needed; return whether the endpoint may be sent to now.
+        """Wait for a permit if needed; return whether the request may be sent now.
 
-        If not, another endpoint is to be chosen.
+        If not, the caller of this method has to choose another endpoint.
         """
         limit = row.limit
         if not limit.is_limited:
@@ -74,12 +77,13 @@
         if not permit.is_granted:
             return False
         await asyncio.sleep(permit.delay_s)
-        return self._may_send(exchange, row)
+        return self._is_still_eligible(exchange, row)
 
-    def back_in_s(self, rows: list[Endpoint]) -> float | None:
-        """Return the Retry-After, None if no endpoint applies back pressure.
+    def retry_delay_s(self, rows: list[Endpoint]) -> float | None:
+        """Return the Retry-After delay, None if no endpoint applies back pressure.
 
-        Spread, so that callers that are refused together don't retry together.
+        The delay is randomized, so that callers that are refused at the same time
+        don't retry at the same time.
         """
         now_s = self._core.clock()
         open_s = [row.open_from_s(now_s) for row in rows]
@@ -89,13 +93,13 @@
         return self._core.rng.uniform(wait_s, 2 * wait_s)
 
     def _max_delay_s(self, exchange: Exchange, now_s: float) -> float:
-        """Return how long a request may wait and still be answered in time."""
+        """Return how long a request may wait and still meet its objective."""
         due_s = exchange.started_s + exchange.route.objective_s
         latest_s = due_s - (exchange.expected_s or 0.0) - SEND_MARGIN_S
         return min(MAX_DELAY_S, max(0.0, latest_s - now_s))
 
-    def _may_send(self, exchange: Exchange, row: Endpoint) -> bool:
-        """Return whether an endpoint still serves what is requested."""
+    def _is_still_eligible(self, exchange: Exchange, row: Endpoint) -> bool:
+        """Return whether an endpoint can still serve the request after the wait."""
         if self._table.rows.get(row.record.id) is not row:
             return False
         now_s = self._core.clock()
--- a/chutelink/relaying/caller_stream.py
+++ b/chutelink/relaying/caller_stream.py
@@ -1,4 +1,4 @@
-"""The caller's side of a stream."""
+"""The caller-facing side of a streamed response."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from multidict import CIMultiDict
 
 from ..core import Application
-from .events import StreamEvent
+from .sse import StreamEvent
 
 
 class CallerStream:
-    """The caller's side: its headers leave with the first event.
+    """Writes a streamed response; its headers are sent with the first event.
 
     Parameters
     ----------
     request : web.BaseRequest
         The caller's request.
     core : Application
-        While it drains, connections are closed after their answers.
+        While it drains, connections are closed after their responses.
     """
 
     def __init__(self, request: web.BaseRequest, core: Application) -> None:
@@ -28,12 +28,12 @@
         self.last_event_s: float | None = None
 
     @property
-    def is_begun(self) -> bool:
-        """Whether the status line has left."""
+    def has_sent_headers(self) -> bool:
+        """Whether the status line and headers have been sent."""
         return self._response is not None
 
-    async def async_begin(self, status: int, headers: CIMultiDict[str]) -> None:
-        """Send the status line and headers, those of the first endpoint."""
+    async def async_send_headers(self, status: int, headers: CIMultiDict[str]) -> None:
+        """Send the status line and headers of the first endpoint; once only."""
         if self._response is not None:
             return
         response = web.StreamResponse(status=status, headers=headers)
@@ -43,20 +43,20 @@
         await response.prepare(self._request)
 
     async def async_send(self, event: StreamEvent) -> None:
-        """Pass an event on."""
+        """Forward an event."""
         self.events += 1
         await self._response.write(event.data)
 
     async def async_finish(self) -> web.StreamResponse:
-        """End the answer as complete."""
+        """End the response as complete."""
         if self._core.is_draining:
-            # Begun before the stop: its headers have promised a kept connection.
+            # Headers sent before draining began promised a persistent connection.
             self._response.force_close()
         await self._response.write_eof()
         return self._response
 
     def abort(self) -> web.StreamResponse:
-        """Close the connection, so that the answer can't look complete."""
+        """Close the connection, so that the response can't appear complete."""
         if self._request.transport is not None:
             self._request.transport.close()
         return self._response
--- a/chutelink/relaying/dispatching.py
+++ b/chutelink/relaying/dispatching.py
@@ -1,4 +1,4 @@
-"""The choice of endpoints for requests, and what they wait for before it."""
+"""Endpoint selection for requests, including the waits before a dispatch."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from ..watching.followed import Knowledge
 from .backpressure import SEND_MARGIN_S, BackPressureGate
 from .exchange import Exchange, urgency_of
-from .gate import QuarantineGate
-from .modelwait import ModelWaiter, may_be_loaded
+from .model_waiter import ModelWaiter, can_be_loaded
+from .quarantine_gate import QuarantineGate
 from .retries import RetryShare
 from .routing import Candidate, RoutingPolicy
 from .signals import SignalReader
@@ -35,26 +35,26 @@
 from .waiting import RETRY_SHARE
 
 DEFAULT_RETRY_S = 0.5
-MIN_BACK_S = 0.2
+MIN_RETRY_DELAY_S = 0.2
 
 
 class Exchanges:
-    """All that sending requests needs: tables, policies and the budget.
+    """Selects endpoints for requests, and holds the tables that this uses.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns this object.
     dialect : Dialect
-        How headers are read and written.
+        Decodes and encodes headers.
     table, health, prefixes, speeds, durations, reading, pending, loads, retries
-        What is known of endpoints, and what is told of them.
+        State of endpoints, updates for other daemons, and the retry budget.
     policy : RoutingPolicy
-        Chooses endpoints.
+        Chooses among the eligible endpoints.
     quarantine : Quarantine
-        Knows requests by their content, and which ended their endpoints.
+        Identifies requests by content, and tracks those that crash endpoints.
     permits : PermitDesk
-        Grants permits for endpoints that name a limit.
+        Grants permits for endpoints with a rate limit.
     """
 
     def __init__(
@@ -88,22 +88,22 @@
         self._policy = policy
         self.quarantine = quarantine
         self.gate = QuarantineGate(quarantine)
-        self._waiter = ModelWaiter(core, table, speeds, pending, loads)
+        self._model_waiter = ModelWaiter(core, table, speeds, pending, loads)
         self.signals = SignalReader(core, dialect, table, loads)
         self._back_pressure = BackPressureGate(core, table, permits)
         self.is_closing = False
         self.on_prompt: Callable[[PromptNews], None] = lambda _: None
         self.on_second_run: Callable[[Exchange], None] = lambda _: None
-        """Called when a request is sent once more that may have run."""
+        """Called when a request that may have run is sent again."""
         self.knowledge: Callable[[], Knowledge | None] = lambda: None
 
     def stop_waiting(self) -> None:
-        """Refuse what waits for a model, now and from now on: this daemon ends."""
-        self.is_closing = self._waiter.is_closing = True
+        """Refuse requests that wait for a model, also later ones; used on shutdown."""
+        self.is_closing = self._model_waiter.is_closing = True
         self.pending.signal()
 
     def make_candidate(self, meta: RequestMeta, route: Route) -> Candidate:
-        """Return what the choice of endpoints needs of a request."""
+        """Return the properties of a request that endpoint selection uses."""
         tokens = 0
         totals = []
         for part in meta.prompt:
@@ -120,7 +120,7 @@
         )
 
     def note_arrival(self, exchange: Exchange) -> None:
-        """Count a request for the budget of repeats and for placement."""
+        """Count a request for the retry budget and for placement."""
         now_s = self.core.clock()
         self.retries.note_request(exchange.service.name, now_s)
         if exchange.service.engine is not None and exchange.meta.model:
@@ -130,23 +130,23 @@
             self.loads.note_arrival(meta.model, meta.adapter, read_s)
 
     async def async_acquire(self, exchange: Exchange) -> Endpoint:
-        """Return the endpoint to send to next, waiting for a load where it pays.
+        """Return the endpoint for the next attempt, waiting for a load if useful.
 
         Raises
         ------
         Refusal
-            There is none in time, or the request is kept away.
+            No endpoint is available in time, or the request is quarantined.
         """
-        row = await self._async_find(exchange)
-        # It may have waited for seconds, and others may have run it meanwhile.
+        row = await self._async_find_endpoint(exchange)
+        # The wait may have taken seconds, in which other daemons may have run it.
         self.gate.check(exchange)
         if exchange.left_s(self.core.clock()) <= 0:
-            # After a suspension of the VM too: nobody waits for an answer any more.
+            # The caller has given up. Also happens after a suspension of the VM.
             raise unavailable("the time limit was reached", DEFAULT_RETRY_S)
         return row
 
-    async def _async_find(self, exchange: Exchange) -> Endpoint:
-        row = await self._async_find_open(exchange)
+    async def _async_find_endpoint(self, exchange: Exchange) -> Endpoint:
+        row = await self._async_find_available(exchange)
         if row is not None:
             return row
         try:
@@ -160,79 +160,85 @@
         return row
 
     async def _async_wait_for_model(self, exchange: Exchange) -> Endpoint:
-        if not may_be_loaded(exchange):
+        if not can_be_loaded(exchange):
             raise unavailable("no endpoint is ready", DEFAULT_RETRY_S)
-        return await self._waiter.async_wait(exchange, self._choose)
+        return await self._model_waiter.async_wait(exchange, self._choose)
 
     def _check_back_pressure(self, exchange: Exchange) -> None:
-        """Refuse what only endpoints could serve that take nothing for now.
+        """Refuse a request if all endpoints that could serve it apply back pressure.
 
         Raises
         ------
         Refusal
-            All endpoints that could serve it are at their limits, or have requested
-            a pause.
+            All these endpoints are at their limits or have requested a pause.
         """
-        back_s = self._back_pressure.back_in_s(self._reachable(exchange))
-        if back_s is not None:
-            raise unavailable("endpoints take no more for now", back_s)
+        retry_delay_s = self._back_pressure.retry_delay_s(
+            self._reachable_rows(exchange)
+        )
+        if retry_delay_s is not None:
+            raise unavailable("endpoints take no more for now", retry_delay_s)
 
     def retry_after_s(self, exchange: Exchange) -> float:
-        """Return when the caller of a request that was not run should come back."""
-        back_s = self._back_pressure.back_in_s(self._reachable(exchange))
-        return DEFAULT_RETRY_S if back_s is None else back_s
+        """Return the Retry-After delay of a request that was not run."""
+        retry_delay_s = self._back_pressure.retry_delay_s(
+            self._reachable_rows(exchange)
+        )
+        return DEFAULT_RETRY_S if retry_delay_s is None else retry_delay_s
 
-    async def _async_find_open(self, exchange: Exchange) -> Endpoint | None:
-        """Return an endpoint that may be sent to now, None if there is none in time."""
+    async def _async_find_available(self, exchange: Exchange) -> Endpoint | None:
+        """Return an endpoint that accepts the request, None if none does in time."""
         while True:
             row = self._choose(exchange)
             if row is not None:
                 self._check_backlog(exchange)
-                row = await self._async_until_room(exchange, row)
+                row = await self._async_wait_for_capacity(exchange, row)
             if row is None or await self._back_pressure.async_admit(exchange, row):
                 return row
 
-    async def _async_until_room(
+    async def _async_wait_for_capacity(
         self, exchange: Exchange, row: Endpoint
     ) -> Endpoint | None:
-        """Wait while a prompt would make streams pause, as long as it is in time.
+        """Wait while the prompt would make streams pause, within the objective.
 
-        Returns the endpoint to send to, None if there is none any more.
+        Returns the endpoint to send to, None if none is available any more.
         """
         while row is not None and not exchange.tried:
             now_s = self.core.clock()
-            room_in_s = self._room_in_s(exchange, row, now_s)
+            capacity_in_s = self._capacity_in_s(exchange, row, now_s)
             due_s = exchange.started_s + exchange.route.objective_s
             latest_s = due_s - exchange.expected_s - SEND_MARGIN_S
-            if room_in_s <= 0 or now_s + room_in_s > latest_s or self.is_closing:
+            if (
+                capacity_in_s <= 0
+                or now_s + capacity_in_s > latest_s
+                or self.is_closing
+            ):
                 break
-            await asyncio.sleep(room_in_s)
+            await asyncio.sleep(capacity_in_s)
             row = self._choose(exchange)
         return row
 
-    def _room_in_s(self, exchange: Exchange, row: Endpoint, now_s: float) -> float:
-        """Return after what time an endpoint could read a prompt."""
+    def _capacity_in_s(self, exchange: Exchange, row: Endpoint, now_s: float) -> float:
+        """Return the time until an endpoint has capacity for the prompt."""
         endpoint = row.record.id
-        read_s = self._policy.own_read_s(row, exchange.candidate, now_s)
+        read_s = self._policy.uncached_read_s(row, exchange.candidate, now_s)
         read_s *= self.speeds.endpoint_factor(endpoint)
         max_pause_s = exchange.route.max_pause_s
         return self.reading.room_in_s(endpoint, read_s, now_s, max_pause_s)
 
     def note_prompt(self, exchange: Exchange, row: Endpoint, read_s: float) -> None:
-        """Take in, and tell the others, that a prompt is being sent."""
-        here_s = read_s * self.speeds.endpoint_factor(row.record.id)
-        self.reading.note(row.record.id, here_s, self.core.clock())
+        """Record that a prompt is sent, and announce it to the other daemons."""
+        endpoint_read_s = read_s * self.speeds.endpoint_factor(row.record.id)
+        self.reading.note(row.record.id, endpoint_read_s, self.core.clock())
         ref = model_ref(exchange.meta.model, exchange.meta.adapter)
         daemon = DaemonId(self.core.daemon.id)
         self.on_prompt(PromptNews(daemon, row.record.id, ref, read_s))
 
     def _check_backlog(self, exchange: Exchange) -> None:
-        """Refuse at once what would be late at the best endpoint there is.
+        """Refuse a request that would be late even at the best endpoint.
 
-        Answers the load of a model whose endpoints are full: what is sent all the
-        same makes everything behind it late too. The first rank is sent all the
-        same: endpoints admit it first, and its callers would come back to be refused
-        again.
+        If a model's endpoints are full, a late request also delays all requests
+        queued behind it. Requests of the highest priority are exempt: endpoints
+        admit them first, and a retry would only be refused again.
 
         Raises
         ------
@@ -247,14 +253,14 @@
         due_s = exchange.started_s + exchange.route.objective_s - now_s
         if exchange.expected_s <= due_s:
             return
-        # After a mean stream those that hold the places now have most likely ended.
+        # After a mean stream duration the current streams have most likely ended.
         stream_s = self.durations.mean_s(exchange.meta.model)
-        back_s = max(exchange.expected_s - due_s, stream_s, MIN_BACK_S)
-        back_s = min(back_s, RETRY_SHARE * exchange.left_s(now_s))
-        raise unavailable("endpoints are busy", back_s)
+        retry_delay_s = max(exchange.expected_s - due_s, stream_s, MIN_RETRY_DELAY_S)
+        retry_delay_s = min(retry_delay_s, RETRY_SHARE * exchange.left_s(now_s))
+        raise unavailable("endpoints are busy", retry_delay_s)
 
-    def _reachable(self, exchange: Exchange) -> list[Endpoint]:
-        """Return the endpoints that hold what is requested and can be reached."""
+    def _reachable_rows(self, exchange: Exchange) -> list[Endpoint]:
+        """Return the reachable endpoints that have the requested model and adapter."""
         now_s = self.core.clock()
         rows = self.table.of_service(exchange.service.name, now_s)
         meta = exchange.meta
@@ -262,20 +268,22 @@
             rows = [row for row in rows if row.holds(meta.model, meta.adapter)]
         return [r for r in rows if self.health.is_reachable(r.record.id, now_s)]
 
-    def _untried(self, exchange: Exchange) -> list[Endpoint]:
-        """Return the endpoints that a request may be sent to."""
-        rows = self._reachable(exchange)
+    def _eligible_rows(self, exchange: Exchange) -> list[Endpoint]:
+        """Return the reachable endpoints that the request may still be sent to."""
+        rows = self._reachable_rows(exchange)
         others = [r for r in rows if r.record.id not in exchange.tried]
         if others or not (exchange.is_repeatable and exchange.may_have_run):
-            # Where only one holds the model, it may well answer the second time.
+            # The only endpoint with the model may well answer a second attempt.
             return others
         return rows
 
     def _choose(self, exchange: Exchange) -> Endpoint | None:
         now_s = self.core.clock()
-        rows = self._back_pressure.open_rows(self._untried(exchange), exchange)
+        rows = self._back_pressure.available_rows(
+            self._eligible_rows(exchange), exchange
+        )
         if len(rows) > 1:
-            free = [r for r in rows if self._room_in_s(exchange, r, now_s) <= 0]
+            free = [r for r in rows if self._capacity_in_s(exchange, r, now_s) <= 0]
             rows = free or rows
         row = self._policy.choose(rows, exchange.candidate, now_s)
         exchange.knowledge = self.knowledge()
@@ -285,7 +293,7 @@
         return row
 
     def make_call(self, exchange: Exchange, row: Endpoint) -> EndpointCall:
-        """Return the request as it goes to an endpoint now."""
+        """Return the call to an endpoint, with the headers of this dispatch."""
         headers = CIMultiDict(exchange.headers)
         customer = exchange.admission.customer
         dispatch = Dispatch(
@@ -306,10 +314,10 @@
         )
 
     def may_repeat(self, exchange: Exchange) -> bool:
-        """Spend one repeat of the budget; return whether it may be sent again."""
+        """Return whether a request may be retried; if so, take one from the budget."""
         if len(exchange.tried) >= exchange.route.max_endpoints:
             return False
-        if exchange.is_trial or self.gate.is_held(exchange):
+        if exchange.is_trial or self.gate.is_quarantined(exchange):
             return False
         if not self.retries.take(exchange.service.name, self.core.clock()):
             return False
--- a/chutelink/relaying/exchange.py
+++ b/chutelink/relaying/exchange.py
@@ -1,4 +1,4 @@
-"""A request on its way to endpoints."""
+"""A request in progress and its state across attempts."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from ..watching.followed import Knowledge
 from .routing import Candidate
 
-LAST_URGENCY = 9
-OBJECTIVES_PER_URGENCY_S = 1.5
-"""Requests whose objectives differ by this much differ by one step of urgency."""
+LEAST_URGENT_STEP = 9
+OBJECTIVE_S_PER_URGENCY_STEP = 1.5
+"""Difference between objectives that makes one step of urgency."""
 
 
 class Exchange(msgspec.Struct, eq=False):
-    """A request with its body, its route, and what became of it so far.
+    """A request with its body, its route and its progress so far.
 
     ``deadline_s`` is on this daemon's clock: the earlier of the caller's and the
-    route's. ``fingerprint`` is the same for all attempts that ask for the same with
-    the same content; ``caller`` is the address that it came from, and ``is_trial``
-    says that it may run once though it has ended endpoints. ``tried`` has the
-    endpoints that it was sent to; ``first_event_s`` is the time from the start to a
-    stream's first event, ``expected_s`` what was expected of the endpoint chosen
-    last, ``longest_pause_s`` between two events;
-    ``admission`` names the customer and what it was counted for;
-    ``knowledge`` is how recent the list of endpoints was that it was chosen from.
+    route's. ``fingerprint`` is the same for all requests with the same content.
+    ``caller`` is the address that the request came from. ``is_trial`` allows one run
+    of a request that has crashed endpoints. ``tried`` lists the endpoints that it was
+    sent to. ``first_event_s`` is the time from the start to a stream's first event,
+    ``expected_s`` the expected time to the first byte at the endpoint chosen last,
+    ``longest_pause_s`` the longest time between two events. ``admission`` has the
+    customer and the quota decision. ``knowledge`` is the version and age of the list
+    of endpoints at the last choice.
     """
 
     meta: RequestMeta
@@ -58,34 +58,34 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Whether the request may run more than once."""
         return self.route.is_repeatable
 
     @property
     def priority(self) -> int:
-        """Its rank, 0 for the most urgent: the customer's goes before the route's."""
+        """Priority, 0 the most urgent; the customer's overrides the route's."""
         customer = self.admission.customer
         if customer is None or customer.priority is None:
             return self.route.priority
         return customer.priority
 
     @property
-    def first_event_by_s(self) -> float:
-        """When the caller leaves if nothing has come."""
+    def first_event_deadline_s(self) -> float:
+        """When the caller gives up without a first event."""
         patience_s = self.route.patience_s
         if not patience_s:
             return self.deadline_s
         return min(self.deadline_s, self.started_s + patience_s)
 
     def left_s(self, now_s: float) -> float:
-        """Return how much time is left."""
+        """Return the time left until the deadline."""
         return self.deadline_s - now_s
 
 
 def pick_service(
     route: Route, services: dict[ServiceName, ServiceSpec], rng: random.Random
 ) -> ServiceSpec | None:
-    """Return one of a route's services, by weight."""
+    """Return one of a route's services, chosen at random by weight."""
     weights = [weighted.weight for weighted in route.services]
     if not any(weights):
         return None
@@ -94,9 +94,12 @@
 
 
 def urgency_of(exchange: Exchange) -> int | None:
-    """Order by rank, then by how soon an answer is due."""
+    """Return the urgency for the endpoint, 0 the most urgent; None without an engine.
+
+    Ordered by priority, then by the objective.
+    """
     if exchange.service.engine is None:
         return None
     step = 2 * exchange.priority
-    step += int(exchange.route.objective_s / OBJECTIVES_PER_URGENCY_S)
-    return min(LAST_URGENCY, step)
+    step += int(exchange.route.objective_s / OBJECTIVE_S_PER_URGENCY_STEP)
+    return min(LEAST_URGENT_STEP, step)
--- a/chutelink/relaying/modelwait.py
+++ b/chutelink/relaying/model_waiter.py
@@ -1,4 +1,4 @@
-"""Let requests wait for a model that no endpoint has."""
+"""Waiting of requests for a model that no endpoint has."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 class ModelWaiter:
-    """Tells the placer what requests wait for, and lets them wait.
+    """Holds requests until their model is loaded, and reports the demand.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns this object.
     table : EndpointTable
         The endpoints.
     speeds : SpeedTable
-        How long prompts take to read.
+        Prefill times of prompts.
     pending : PendingTable
-        Loads on their way.
+        Loads in progress.
     loads : LoadBook
-        What the placer is told.
+        Collects the demand that is reported to the placer.
     """
 
     def __init__(
@@ -60,15 +60,15 @@
         Raises
         ------
         Refusal
-            There is none in time.
+            No endpoint has the model in time.
         """
         meta = exchange.meta
-        is_patient = _is_patient(exchange)
+        is_patient = _has_time_for_cold_load(exchange)
         self._loads.begin_wait(meta.model, meta.adapter, is_patient=is_patient)
         try:
             return await self._async_wait_for_model(exchange, choose)
         except Refusal as refusal:
-            self._expect_back(exchange, refusal)
+            self._keep_demand_until_retry(exchange, refusal)
             raise
         finally:
             self._loads.end_wait(meta.model, meta.adapter, is_patient=is_patient)
@@ -76,12 +76,12 @@
     async def _async_wait_for_model(
         self, exchange: Exchange, choose: Callable[[Exchange], Endpoint | None]
     ) -> Endpoint:
-        asked_s = self._core.clock()
+        wait_started_s = self._core.clock()
         while True:
             wait = self._make_wait(exchange)
             until_s = wait_until_s(wait)
             if until_s <= wait.now_s or self.is_closing:
-                raise self._refuse_wait(exchange, wait)
+                raise self._make_refusal(exchange, wait)
             await self._pending.async_wait(until_s - wait.now_s)
             row = choose(exchange)
             if row is not None:
@@ -91,7 +91,7 @@
                     model=exchange.meta.model,
                     adapter=exchange.meta.adapter,
                     endpoint=row.record.id,
-                    waited_s=self._core.clock() - asked_s,
+                    waited_s=self._core.clock() - wait_started_s,
                 )
                 return row
 
@@ -99,27 +99,27 @@
         meta = exchange.meta
         now_s = self._core.clock()
         spec = exchange.service.engine.models[meta.model]
-        is_resident = self._is_resident(exchange)
+        is_base_model_loaded = self._is_base_model_loaded(exchange)
         return ModelWait(
             now_s=now_s,
             started_s=exchange.started_s,
-            last_s=exchange.first_event_by_s,
+            last_s=exchange.first_event_deadline_s,
             objective_s=exchange.route.objective_s,
             read_s=self._speeds.read_s(meta.model, meta.prompt_tokens),
-            copy_load_s=0.0 if is_resident else spec.disk_load_s,
-            cold_load_s=0.0 if is_resident else spec.cold_load_s,
+            copy_load_s=0.0 if is_base_model_loaded else spec.disk_load_s,
+            cold_load_s=0.0 if is_base_model_loaded else spec.cold_load_s,
             ready_s=self._pending.ready_s(meta.model, meta.adapter, now_s),
-            is_held_off=self._is_held_off(exchange),
+            is_held_off=self._has_unavailable_copy(exchange),
         )
 
-    def _refuse_wait(self, exchange: Exchange, wait: ModelWait) -> Refusal:
-        what = "adapter" if self._is_resident(exchange) else "model"
+    def _make_refusal(self, exchange: Exchange, wait: ModelWait) -> Refusal:
+        missing = "adapter" if self._is_base_model_loaded(exchange) else "model"
         is_loading = wait.ready_s is not None
         reason = "is being loaded" if is_loading else "is not loaded"
-        return unavailable(f"the {what} {reason}", back_in_s(wait))
+        return unavailable(f"the {missing} {reason}", back_in_s(wait))
 
-    def _is_held_off(self, exchange: Exchange) -> bool:
-        """Return whether an endpoint holds what is requested, and takes nothing."""
+    def _has_unavailable_copy(self, exchange: Exchange) -> bool:
+        """Return whether an endpoint with the model and adapter accepts nothing now."""
         meta = exchange.meta
         now_s = self._core.clock()
         rows = self._table.of_service(exchange.service.name, now_s)
@@ -128,14 +128,17 @@
             for row in rows
         )
 
-    def _is_resident(self, exchange: Exchange) -> bool:
-        """Return whether only the adapter is missing, which is there in some ms."""
+    def _is_base_model_loaded(self, exchange: Exchange) -> bool:
+        """Return whether only the adapter may be missing; it loads within some ms."""
         now_s = self._core.clock()
         rows = self._table.of_service(exchange.service.name, now_s)
         return any(row.holds(exchange.meta.model) for row in rows)
 
-    def _expect_back(self, exchange: Exchange, refusal: Refusal) -> None:
-        """Keep asking for a model until its caller is back, which has time for it."""
+    def _keep_demand_until_retry(self, exchange: Exchange, refusal: Refusal) -> None:
+        """Keep reporting the demand until the caller retries.
+
+        It counts as patient: by then there is time for a load.
+        """
         left_s = exchange.left_s(self._core.clock())
         back_in_s = min(refusal.retry_after_s, RETRY_SHARE * left_s)
         meta = exchange.meta
@@ -143,13 +146,13 @@
         self._loads.keep_wait(meta.model, meta.adapter, back_in_s)
 
 
-def may_be_loaded(exchange: Exchange) -> bool:
-    """Return whether an endpoint of the service could load what is requested."""
+def can_be_loaded(exchange: Exchange) -> bool:
+    """Return whether the service's endpoints could load the requested model."""
     engine = exchange.service.engine
     return engine is not None and exchange.meta.model in engine.models
 
 
-def _is_patient(exchange: Exchange) -> bool:
-    """Return whether a load from the weight store fits the objective."""
+def _has_time_for_cold_load(exchange: Exchange) -> bool:
+    """Return whether a load from the weight store fits into the objective."""
     spec = exchange.service.engine.models[exchange.meta.model]
     return exchange.route.objective_s > spec.cold_load_s + LOAD_MARGIN_S
--- a/chutelink/relaying/gate.py
+++ b/chutelink/relaying/quarantine_gate.py
@@ -1,4 +1,4 @@
-"""Refuse requests that have ended the endpoints that ran them."""
+"""Refuse requests that have crashed the endpoints that ran them."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 
 class QuarantineGate:
-    """Lets exchanges pass, or refuses them.
+    """Admits requests, or refuses them if they are quarantined.
 
     Parameters
     ----------
     quarantine : Quarantine
-        Knows what is kept away.
+        Tracks quarantined requests.
     """
 
     def __init__(self, quarantine: Quarantine) -> None:
         self._quarantine = quarantine
 
     async def async_admit(self, exchange: Exchange) -> None:
-        """Refuse at once what is kept away; let one daemon try what was long enough.
+        """Refuse a quarantined request, unless it is due for a trial run.
+
+        A trial is claimed first, so that only one daemon runs it.
 
         Raises
         ------
         Refusal
-            It is kept away.
+            The request is quarantined.
         """
         verdict = self._quarantine.verdict(exchange.fingerprint)
         if verdict is Verdict.TRIAL:
@@ -35,20 +37,20 @@
         self.check(exchange)
 
     def check(self, exchange: Exchange) -> None:
-        """Refuse what is kept away, whenever that became known.
+        """Refuse a request that is quarantined now, also after its admission.
 
         Raises
         ------
         Refusal
-            It is kept away.
+            The request is quarantined.
         """
-        if not self.is_held(exchange):
+        if not self.is_quarantined(exchange):
             return
         back_in_s = self._quarantine.back_in_s(exchange.fingerprint)
         raise unavailable("endpoints ended that ran this request", back_in_s)
 
-    def is_held(self, exchange: Exchange) -> bool:
-        """Return whether it may not be sent."""
+    def is_quarantined(self, exchange: Exchange) -> bool:
+        """Return whether the request is quarantined and is not a trial run."""
         if exchange.is_trial:
             return False
         return self._quarantine.verdict(exchange.fingerprint) is not Verdict.FREE
--- a/chutelink/relaying/relay.py
+++ b/chutelink/relaying/relay.py
@@ -1,4 +1,4 @@
-"""Relay requests whose answers are passed on whole."""
+"""Relay requests whose responses are buffered and forwarded complete."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from .exchange import Exchange
 from .upstream import Upstream, WholeResponse
 
-SERVER_ERROR = 500
-FIRST_TRY_SHARE = 0.45
-"""Share of the time left that the first endpoint of a repeatable request gets."""
+FIRST_SERVER_ERROR_STATUS = 500
+FIRST_ATTEMPT_TIME_SHARE = 0.45
+"""Share of the remaining time for an attempt that may be followed by another."""
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 
 
 class AttemptResult(Enum):
-    """How an attempt ended, for logs and for what may follow."""
+    """Result of an attempt, for logs and for the decision to retry."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
@@ -37,47 +37,50 @@
 
 
 class Relay:
-    """Sends a request to endpoints until one answers, as often as is allowed.
+    """Sends a request to endpoints until one answers, within the retry limits.
 
     Parameters
     ----------
-    exchanges : Exchanges
-        Tables and policies.
+    dispatcher : Exchanges
+        Endpoint selection and its tables.
     upstream : Upstream
         Connections to endpoints.
     """
 
-    def __init__(self, exchanges: Exchanges, upstream: Upstream) -> None:
-        self._exchanges = exchanges
+    def __init__(self, dispatcher: Exchanges, upstream: Upstream) -> None:
+        self._dispatcher = dispatcher
         self._upstream = upstream
 
     async def async_whole(self, exchange: Exchange) -> WholeResponse:
-        """Return an endpoint's answer, unchanged.
+        """Return an endpoint's response, unchanged.
 
         Raises
         ------
         Refusal
-            NOT_RUN only when nothing was run; else UNKNOWN.
+            Its outcome is NOT_RUN only if no endpoint ran the request; else UNKNOWN.
         """
         last: WholeResponse | None = None
         while True:
-            row = await self.async_next(exchange, last)
+            row = await self.async_next_endpoint(exchange, last)
             if row is None:
                 return last
             result, answer = await self._async_attempt(exchange, row)
             if result is AttemptResult.ANSWERED:
-                if answer.status < SERVER_ERROR or not exchange.is_repeatable:
+                if (
+                    answer.status < FIRST_SERVER_ERROR_STATUS
+                    or not exchange.is_repeatable
+                ):
                     return answer
                 last = answer
-            if not self._may_go_on(exchange, result):
-                return self._last_word(exchange, last)
+            if not self._can_retry(exchange, result):
+                return self._final_answer(exchange, last)
 
-    async def async_next(
+    async def async_next_endpoint(
         self, exchange: Exchange, last: WholeResponse | None
     ) -> Endpoint | None:
-        """Return the next endpoint, or None to pass the last answer on."""
+        """Return the next endpoint, or None to forward the last response."""
         try:
-            return await self._exchanges.async_acquire(exchange)
+            return await self._dispatcher.async_acquire(exchange)
         except Refusal as refusal:
             if last is not None:
                 return None
@@ -85,31 +88,31 @@
                 raise unknown_outcome(refusal.title) from refusal
             raise
 
-    def _last_word(
+    def _final_answer(
         self, exchange: Exchange, last: WholeResponse | None
     ) -> WholeResponse:
-        """Return the answer to pass on, or raise the refusal."""
+        """Return the response to forward, or raise the refusal."""
         if last is not None:
             return last
-        is_late = exchange.left_s(self._exchanges.core.clock()) <= 0
-        back_s = self._exchanges.retry_after_s(exchange)
-        raise give_up(exchange, back_s, is_late=is_late)
+        is_late = exchange.left_s(self._dispatcher.core.clock()) <= 0
+        retry_delay_s = self._dispatcher.retry_after_s(exchange)
+        raise make_refusal(exchange, retry_delay_s, is_late=is_late)
 
-    def _may_go_on(self, exchange: Exchange, result: AttemptResult) -> bool:
-        is_safe = exchange.is_repeatable or not exchange.may_have_run
-        if not is_safe or exchange.left_s(self._exchanges.core.clock()) <= 0:
+    def _can_retry(self, exchange: Exchange, result: AttemptResult) -> bool:
+        is_retry_safe = exchange.is_repeatable or not exchange.may_have_run
+        if not is_retry_safe or exchange.left_s(self._dispatcher.core.clock()) <= 0:
             return False
-        return self._exchanges.may_repeat(exchange)
+        return self._dispatcher.may_repeat(exchange)
 
     async def _async_attempt(
         self, exchange: Exchange, row: Endpoint
     ) -> tuple[AttemptResult, WholeResponse | None]:
-        clock = self._exchanges.core.clock
+        clock = self._dispatcher.core.clock
         sent_s = clock()
-        call = self._exchanges.make_call(exchange, row)
+        call = self._dispatcher.make_call(exchange, row)
         try:
-            with self.under_way(exchange, row):
-                limit_s = self._limit_s(exchange, sent_s)
+            with self.track_in_flight(exchange, row):
+                limit_s = self._attempt_timeout_s(exchange, sent_s)
                 answer = await self._upstream.async_exchange(row, call, limit_s)
         except EndpointUnreachable as error:
             self.note_failure(exchange, row, AttemptResult.UNREACHABLE, error)
@@ -119,16 +122,16 @@
             self.note_failure(exchange, row, AttemptResult.FAILED, error)
             await self.async_note_broken(exchange, row, error, sent_s)
             return AttemptResult.FAILED, None
-        self._exchanges.signals.note(
+        self._dispatcher.signals.note(
             exchange, row, answer.status, answer.headers, sent_s
         )
-        return self.judge(exchange, row, answer, clock() - sent_s), answer
+        return self.classify_answer(exchange, row, answer, clock() - sent_s), answer
 
-    def judge(
+    def classify_answer(
         self, exchange: Exchange, row: Endpoint, answer: WholeResponse, took_s: float
     ) -> AttemptResult:
-        """Classify an answer and learn from it."""
-        kind = self._exchanges.dialect.classify(
+        """Classify a response and update the endpoint's health."""
+        kind = self._dispatcher.dialect.classify(
             answer.status, answer.headers, exchange.meta.id
         )
         if kind is AnswerKind.NOT_RUN:
@@ -142,29 +145,29 @@
         if kind is AnswerKind.FOREIGN:
             self.note_failure(exchange, row, AttemptResult.FAILED, error)
             return AttemptResult.FAILED
-        if answer.status >= SERVER_ERROR:
+        if answer.status >= FIRST_SERVER_ERROR_STATUS:
             self.note_failure(exchange, row, AttemptResult.ANSWERED, error)
         else:
-            now_s = self._exchanges.core.clock()
-            self._exchanges.health.note_success(endpoint, now_s, took_s)
-            self.note_good_run(exchange)
+            now_s = self._dispatcher.core.clock()
+            self._dispatcher.health.note_success(endpoint, now_s, took_s)
+            self.note_completed_run(exchange)
         return AttemptResult.ANSWERED
 
-    def _limit_s(self, exchange: Exchange, now_s: float) -> float:
-        """Return how long the endpoint tried last may take."""
+    def _attempt_timeout_s(self, exchange: Exchange, now_s: float) -> float:
+        """Return the timeout of the current attempt."""
         left_s = exchange.left_s(now_s)
-        has_more = len(exchange.tried) < exchange.route.max_endpoints
-        if exchange.is_repeatable and has_more:
-            return max(0.0, FIRST_TRY_SHARE * left_s)
+        has_more_attempts = len(exchange.tried) < exchange.route.max_endpoints
+        if exchange.is_repeatable and has_more_attempts:
+            return max(0.0, FIRST_ATTEMPT_TIME_SHARE * left_s)
         return max(0.0, left_s)
 
     @contextmanager
-    def under_way(self, exchange: Exchange, row: Endpoint):
-        """Count a request at an endpoint while it is there."""
+    def track_in_flight(self, exchange: Exchange, row: Endpoint):
+        """Count a request as in flight at an endpoint within the context."""
         exchange.tried.append(row.record.id)
-        row.last_sent_s = self._exchanges.core.clock()
+        row.last_sent_s = self._dispatcher.core.clock()
         if row.limit.is_limited:
-            self._exchanges.core.metrics.limited_sends.inc({})
+            self._dispatcher.core.metrics.limited_sends.inc({})
         row.requests += 1
         ref = model_ref(exchange.meta.model, exchange.meta.adapter)
         row.by_ref[ref] += 1
@@ -175,9 +178,9 @@
             row.by_ref[ref] -= 1
 
     def note_not_run(self, exchange: Exchange, row: Endpoint, status: int) -> None:
-        """Log that an endpoint did not take a request."""
-        self._exchanges.core.metrics.retries.inc({"reason": "not_run"})
-        self._exchanges.core.events.record(
+        """Log that an endpoint did not run a request."""
+        self._dispatcher.core.metrics.retries.inc({"reason": "not_run"})
+        self._dispatcher.core.events.record(
             "attempt_not_run",
             request=exchange.meta.id,
             endpoint=row.record.id,
@@ -194,16 +197,16 @@
         error: EndpointFailed,
         sent_s: float,
     ) -> None:
-        """Find out whether a run was broken off because its endpoint ended.
+        """Determine whether a run was interrupted because its endpoint crashed.
 
-        Before another endpoint is tried, which is spared where the request has ended
-        as many as are allowed.
+        Done before another endpoint is tried: a request that has crashed as many
+        endpoints as are allowed is not sent to a further one.
         """
         record = row.record
         if not isinstance(error, ConnectionBroken):
             return
-        if not self._exchanges.table.is_registered(record):
-            # It has said that it leaves, or its registration was removed.
+        if not self._dispatcher.table.is_registered(record):
+            # It announced that it is leaving, or its registration was removed.
             return
         run = BrokenRun(
             exchange.fingerprint,
@@ -214,18 +217,18 @@
             sent_s,
             error.is_new_connection,
         )
-        quarantine = self._exchanges.quarantine
-        if self._exchanges.table.is_replaced(record):
-            now_s = self._exchanges.core.clock()
+        quarantine = self._dispatcher.quarantine
+        if self._dispatcher.table.is_replaced(record):
+            now_s = self._dispatcher.core.clock()
             quarantine.note_ended(run, Evidence.RESTARTED, now_s)
             return
         await quarantine.async_note_broken(run)
 
-    def note_good_run(self, exchange: Exchange) -> None:
-        """Take in that an endpoint has run a request to its end."""
-        self._exchanges.quarantine.note_success(exchange.fingerprint)
+    def note_completed_run(self, exchange: Exchange) -> None:
+        """Record that an endpoint ran a request to completion."""
+        self._dispatcher.quarantine.note_success(exchange.fingerprint)
         if exchange.meta.model:
-            self._exchanges.loads.note_served(
+            self._dispatcher.loads.note_served(
                 exchange.meta.model, exchange.meta.adapter
             )
 
@@ -236,12 +239,12 @@
         result: AttemptResult,
         error: ChutelinkError,
     ) -> None:
-        """Log a failed attempt and learn from it."""
-        core = self._exchanges.core
-        health = self._exchanges.health
+        """Log a failed attempt and update the endpoint's health."""
+        core = self._dispatcher.core
+        health = self._dispatcher.health
         if result is AttemptResult.UNREACHABLE:
             health.note_unreachable(row.record.id, core.clock())
-            self._exchanges.loads.urgent.set()
+            self._dispatcher.loads.urgent.set()
         else:
             health.note_failure(row.record.id, core.clock())
         core.metrics.retries.inc({"reason": result.value})
@@ -257,15 +260,15 @@
         )
 
 
-def give_up(exchange: Exchange, back_s: float, *, is_late: bool) -> Refusal:
+def make_refusal(exchange: Exchange, retry_delay_s: float, *, is_late: bool) -> Refusal:
     """Return the refusal of a request that no endpoint answered.
 
-    ``back_s`` is when its caller should come back if it was not run.
+    ``retry_delay_s`` is the Retry-After delay of a request that was not run.
     """
     if exchange.may_have_run:
         if is_late:
             return unknown_outcome("the time limit was reached", GATEWAY_TIMEOUT)
         return unknown_outcome("no endpoint answered in full", BAD_GATEWAY)
-    refusal = unavailable("no endpoint took the request", back_s)
+    refusal = unavailable("no endpoint took the request", retry_delay_s)
     refusal.outcome = Outcome.NOT_RUN
     return refusal
--- a/chutelink/relaying/requestlog.py
+++ b/chutelink/relaying/requestlog.py
@@ -1,4 +1,4 @@
-"""One log line and the metrics for each request."""
+"""Request log lines and request metrics."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from ..customers.quotas import QuotaVerdict
 from .exchange import Exchange
 
-GOOD_LINES_PER_S = 5.0
-"""Lines for requests that went well; all others are kept."""
-BURST_LINES = 20.0
-FIRST_FAILURE = 400
+MAX_SUCCESS_LINES_PER_S = 5.0
+"""Rate limit of lines for successful requests; all others are logged."""
+SUCCESS_LINE_BURST = 20.0
+FIRST_ERROR_STATUS = 400
 ANSWERED = "answered"
 
 
 class RequestResult(msgspec.Struct, frozen=True):
-    """How a request ended; ``reason`` says why it was refused."""
+    """The result of a request; ``reason`` is why it was refused."""
 
     status: int
     outcome: str
@@ -26,19 +26,19 @@
 
 
 class RequestLog:
-    """Logs every failed or odd request, and as many good ones as are allowed.
+    """Logs every failed or late request, and a limited rate of successful ones.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns this object.
     """
 
     def __init__(self, core: Application) -> None:
         self._core = core
-        self._tokens = BURST_LINES
+        self._tokens = SUCCESS_LINE_BURST
         self._updated_s = core.clock()
-        self._left_out = 0
+        self._suppressed_lines = 0
 
     def note(
         self,
@@ -48,10 +48,10 @@
         result: RequestResult,
         started_s: float,
     ) -> None:
-        """Count a request that has ended, and log it.
+        """Count a completed request, and log it.
 
-        Of those over a quota as many are logged as of those that went well: a
-        customer may send many times its limit for as long as it likes.
+        Requests over a quota share the line rate limit of successful requests: a
+        customer may exceed its limit many times over for an unlimited time.
         """
         now_s = self._core.clock()
         took_s = now_s - started_s
@@ -64,17 +64,17 @@
             age_s = exchange.knowledge.age_s
             self._core.metrics.endpoints_age_seconds.observe({}, age_s)
         is_late = exchange is not None and _is_late(exchange, took_s)
-        is_good = result.outcome == ANSWERED and result.status < FIRST_FAILURE
-        is_over = admission.decision.verdict is QuotaVerdict.OVER
-        is_usual = is_over or (is_good and not is_late)
-        if is_usual and not self._may_log(now_s):
-            self._left_out += 1
+        is_success = result.outcome == ANSWERED and result.status < FIRST_ERROR_STATUS
+        is_over_quota = admission.decision.verdict is QuotaVerdict.OVER
+        is_rate_limited = is_over_quota or (is_success and not is_late)
+        if is_rate_limited and not self._take_token(now_s):
+            self._suppressed_lines += 1
             return
         self._emit(request, exchange, admission, result, took_s)
 
-    def _may_log(self, now_s: float) -> bool:
-        earned = (now_s - self._updated_s) * GOOD_LINES_PER_S
-        self._tokens = min(BURST_LINES, self._tokens + earned)
+    def _take_token(self, now_s: float) -> bool:
+        refill = (now_s - self._updated_s) * MAX_SUCCESS_LINES_PER_S
+        self._tokens = min(SUCCESS_LINE_BURST, self._tokens + refill)
         self._updated_s = now_s
         if self._tokens < 1.0:
             return False
@@ -96,7 +96,7 @@
             "reason": result.reason,
             "took_s": took_s,
         }
-        fields |= _describe(admission)
+        fields |= _admission_fields(admission)
         if exchange is None:
             fields |= {"host": request.host, "path": request.raw_path[:80]}
         else:
@@ -122,14 +122,14 @@
                     "endpoints_version": exchange.knowledge.version,
                     "endpoints_age_s": exchange.knowledge.age_s,
                 }
-        if self._left_out:
-            fields["good_left_out"] = self._left_out
-            self._left_out = 0
+        if self._suppressed_lines:
+            fields["good_left_out"] = self._suppressed_lines
+            self._suppressed_lines = 0
         self._core.events.record("request", **fields)
 
 
-def _describe(admission: Admission) -> dict[str, object]:
-    """Return what decided about the caller, nothing where no keys are needed."""
+def _admission_fields(admission: Admission) -> dict[str, object]:
+    """Return the admission's log fields; empty where no keys are required."""
     if admission.config_version is None:
         return {}
     customer, decision = admission.customer, admission.decision
@@ -145,7 +145,7 @@
 
 
 def _is_late(exchange: Exchange, took_s: float) -> bool:
-    """Return whether an answer, a first event or a pause missed its objective."""
+    """Return whether a response, first event or pause missed its objective."""
     if exchange.longest_pause_s > exchange.route.max_pause_s > 0:
         return True
     first_s = took_s if exchange.first_event_s is None else exchange.first_event_s
--- a/chutelink/relaying/retries.py
+++ b/chutelink/relaying/retries.py
@@ -1,4 +1,4 @@
-"""One budget of repeated sends, split over all daemons."""
+"""Retry budget of each service, divided among all daemons."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from ..ids import ServiceName
 
-SAFETY = 0.8
-"""Share of the bound that is used: requests are spread unevenly over daemons."""
+BUDGET_SAFETY_FACTOR = 0.8
+"""Share of the bound that is used: requests are not spread evenly over daemons."""
 
 
-class _Window:
-    """Counts within a sliding time."""
+class _SlidingWindowCounter:
+    """Counts events within a sliding time window."""
 
     def __init__(self) -> None:
         self._times: deque[float] = deque()
@@ -26,37 +26,37 @@
 
 
 class RetryShare:
-    """One daemon's part of the budget of each service.
+    """One daemon's share of the retry budget of each service.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request.
+        Retries per request.
     slack : float
-        Repeats that all daemons together have besides.
+        Additional retries, shared by all daemons.
     window_s : float
-        The time over which both are counted.
+        The time window in which requests and retries are counted.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
-        self._requests: dict[ServiceName, _Window] = {}
-        self._repeats: dict[ServiceName, _Window] = {}
+        self._requests: dict[ServiceName, _SlidingWindowCounter] = {}
+        self._repeats: dict[ServiceName, _SlidingWindowCounter] = {}
         self.daemons = 1
 
     def note_request(self, service: ServiceName, now_s: float) -> None:
-        """Count a request of a caller."""
-        self._requests.setdefault(service, _Window()).add(now_s)
+        """Count a caller's request."""
+        self._requests.setdefault(service, _SlidingWindowCounter()).add(now_s)
 
     def take(self, service: ServiceName, now_s: float) -> bool:
-        """Spend one repeat; return whether there was one."""
-        requests = self._requests.setdefault(service, _Window())
-        repeats = self._repeats.setdefault(service, _Window())
+        """Take one retry from the budget; return whether one was left."""
+        requests = self._requests.setdefault(service, _SlidingWindowCounter())
+        repeats = self._repeats.setdefault(service, _SlidingWindowCounter())
         allowed = self._ratio * requests.count(now_s, self._window_s)
         allowed += self._slack / max(1, self.daemons)
-        if repeats.count(now_s, self._window_s) + 1 > SAFETY * allowed:
+        if repeats.count(now_s, self._window_s) + 1 > BUDGET_SAFETY_FACTOR * allowed:
             return False
         repeats.add(now_s)
         return True
--- a/chutelink/relaying/routing.py
+++ b/chutelink/relaying/routing.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint of a request. Pure: works on tables."""
+"""Endpoint selection. Pure functions of in-memory tables, without I/O."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from ..learning.prefixes import PrefixTable
 from ..learning.speeds import SpeedTable
 
-FAR_COST_S = 0.003
-"""Crossing to another failure domain: a round trip, and its bytes are charged."""
+CROSS_DOMAIN_COST_S = 0.003
+"""Cost of crossing failure domains: a round trip, and the traffic is billed."""
 DEFAULT_OBJECTIVE_S = 1.0
-"""For requests that name no objective."""
+"""Used for requests without an objective."""
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """What is known of a request when its endpoint is chosen.
+    """The properties of a request that endpoint selection uses.
 
-    ``chain`` has a hash for each beginning of the prompt, ``chain_tokens`` how
-    many tokens each beginning has. ``objective_s`` is the time to the first byte
-    that is left, 0 where it is not known.
+    ``chain`` has a hash for each prefix of the prompt, ``chain_tokens`` the number of
+    tokens in each prefix. ``objective_s`` is the objective for the time to the first
+    byte, 0 where it is unknown.
     """
 
     model: ModelName
@@ -37,25 +37,25 @@
 
 
 class RoutingPolicy(ABC):
-    """Orders endpoints for a request."""
+    """Selects an endpoint for a request."""
 
     @abstractmethod
     def choose(
         self, rows: list[Endpoint], request: Candidate, now_s: float
     ) -> Endpoint | None:
-        """Return the best endpoint, or None when there is none."""
+        """Return the best endpoint, or None if ``rows`` is empty."""
 
     def expected_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
-        """Return the expected time to the first byte; 0 where it is not known."""
+        """Return the expected time to the first byte; 0 where it is unknown."""
         return 0.0
 
-    def own_read_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
-        """Return how long the prompt takes to read; 0 where it is not known."""
+    def uncached_read_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+        """Return the expected prefill time of the prompt; 0 where it is unknown."""
         return 0.0
 
 
 class LeastRequests(RoutingPolicy):
-    """Baseline: fewest requests under way for the places that it has."""
+    """Baseline policy: fewest requests in flight per batch slot."""
 
     def choose(
         self, rows: list[Endpoint], request: Candidate, now_s: float
@@ -69,23 +69,24 @@
 
 
 class LeastLoss(RoutingPolicy):
-    """Least expected loss, in requests: one's own, and what others lose by it.
+    """Minimizes the expected loss, in requests, of this request and of others.
 
-    A request loses by a late first byte, by a failure, and by pauses in its stream;
-    the more an endpoint has under way, the more streams pause, its own and those
-    that are there already. Guards against sending everything to the one endpoint
-    that has not paused lately, while others with the same model have places.
+    The loss of a request covers a late first byte, a failure and pauses in its
+    stream. The more requests an endpoint has in flight, the more streams pause: the
+    new one and those already there. Counting both avoids sending all requests to the
+    one endpoint that has not paused lately, while others with the same model have
+    free slots.
 
     Parameters
     ----------
     health : HealthTable
-        How endpoints have answered lately.
+        Recent failures and response times of endpoints.
     prefixes : PrefixTable
-        Which prompts they have read lately.
+        Prompt prefixes that endpoints are assumed to have cached.
     speeds : SpeedTable
-        How fast they read.
+        Prefill speeds.
     durations : DurationTable
-        How long streams take.
+        Durations of streams.
     """
 
     def __init__(
@@ -112,17 +113,17 @@
         )
 
     def expected_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
-        """Return the expected time to the first byte, without failures."""
+        """Return the expected time to the first byte if the request doesn't fail."""
         if not request.model:
             queued = row.total_requests / max(1, row.record.slots)
             return queued * self._health.typical_s(row.record.id)
-        reading_s = self.own_read_s(row, request, now_s)
+        reading_s = self.uncached_read_s(row, request, now_s)
         reading_s += row.reading_s + row.other_reading_s
         reading_s *= self._speeds.endpoint_factor(row.record.id)
-        return reading_s + self._place_wait_s(row, request.model)
+        return reading_s + self._slot_wait_s(row, request.model)
 
-    def _place_wait_s(self, row: Endpoint, model: ModelName) -> float:
-        """Return how long it takes until a place in a full batch is free."""
+    def _slot_wait_s(self, row: Endpoint, model: ModelName) -> float:
+        """Return the expected wait for a free slot in a full batch."""
         slots = max(1, row.record.slots)
         ahead = row.total_requests + 1 - slots
         return max(0, ahead) * self._durations.mean_s(model) / slots
@@ -132,30 +133,30 @@
         objective_s = request.objective_s or DEFAULT_OBJECTIVE_S
         expected_s = self.expected_s(row, request, now_s)
         if row.record.failure_domain != request.failure_domain:
-            expected_s += FAR_COST_S
+            expected_s += CROSS_DOMAIN_COST_S
         loss = self._health.failure_share(endpoint, now_s)
         if not request.model:
             return loss + expected_s / objective_s
         loss += (expected_s / objective_s) ** 2
         occupancy = row.total_requests / max(1, row.record.slots)
-        weight = self.own_read_s(row, request, now_s) / self._speeds.typical_read_s
+        weight = self.uncached_read_s(row, request, now_s) / self._speeds.typical_read_s
         return loss + _pause_loss(occupancy, weight)
 
-    def own_read_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
-        """Return how long the prompt takes to read, less what is kept of it."""
+    def uncached_read_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+        """Return the prefill time of the part of the prompt that is not cached."""
         parts = self._prefixes.cached_parts(row.record.id, request.chain, now_s)
         cached = request.chain_tokens[parts - 1] if parts else 0
         return self._speeds.read_s(request.model, request.prompt_tokens - cached)
 
 
 def _pause_loss(occupancy: float, weight: float) -> float:
-    """Return how many streams pause too long by one more at an endpoint.
+    """Return how many streams an additional one makes pause for too long.
 
-    The share that does grows with the part of the batch in use like the share of
-    calls that find a single line busy (Erlang's loss formula). The first term is the
-    new stream's own, the second what the others lose, which grows with the length
-    of the prompt that is read between their tokens.
+    The share of streams that pause grows with the batch occupancy like the blocking
+    probability of a single line (Erlang B formula). The first term is the loss of the
+    new stream, the second that of the existing ones, which grows with the length of
+    the prompt that is processed between their tokens.
     """
-    own = occupancy / (1.0 + occupancy)
-    others = occupancy / (1.0 + occupancy) ** 2
-    return own + weight * others
+    own_loss = occupancy / (1.0 + occupancy)
+    others_loss = occupancy / (1.0 + occupancy) ** 2
+    return own_loss + weight * others_loss
--- a/chutelink/relaying/signals.py
+++ b/chutelink/relaying/signals.py
@@ -1,4 +1,4 @@
-"""Take in what endpoints' answers say of the endpoints."""
+"""Process the state that endpoints report in response headers."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from ..limits.news import EndpointLimit
 from .exchange import Exchange
 
-FIRST_FAILURE = 300
+FIRST_NON_SUCCESS_STATUS = 300
 
 
 class SignalReader:
-    """Reads signals off answers, and logs those that change something.
+    """Applies limits, pauses and leaving notices from responses, and logs changes.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns this object.
     dialect : Dialect
-        Reads headers.
+        Decodes headers.
     table : EndpointTable
         The endpoints.
     loads : LoadBook
-        What other daemons are told.
+        Collects updates for other daemons.
     """
 
     def __init__(
@@ -50,9 +50,9 @@
         headers: CIMultiDictProxy[str],
         sent_s: float,
     ) -> None:
-        """Take in the answer to a request that was sent at ``sent_s``."""
+        """Process the response to a request that was sent at ``sent_s``."""
         if self._table.rows.get(row.record.id) is not row:
-            # Its process has ended since.
+            # The response is from a former process of this endpoint.
             return
         signals = self._dialect.decode_signals(status, headers)
         for name in signals.unreadable:
@@ -63,10 +63,10 @@
                 value=headers[name][:80],
             )
         kind = self._dialect.classify(status, headers, exchange.meta.id)
-        # A refusal may be of another endpoint, at an address used again, and an error
-        # of what stands before the endpoint: only a success lifts a limit.
-        is_good = kind is AnswerKind.ANSWERED and status < FIRST_FAILURE
-        if signals.limit_per_s is not None or (is_good and not signals.unreadable):
+        # A refusal may be from another endpoint at a reused address, and an error
+        # from a proxy in front of the endpoint: only a success lifts a limit.
+        is_success = kind is AnswerKind.ANSWERED and status < FIRST_NON_SUCCESS_STATUS
+        if signals.limit_per_s is not None or (is_success and not signals.unreadable):
             self._note_limit(exchange, row, signals.limit_per_s, sent_s)
         if signals.is_leaving:
             self._note_leaving(exchange, row)
--- /dev/null
+++ b/chutelink/relaying/sse.py
@@ -0,0 +1,49 @@
+"""Split a stream of server-sent events into complete events with their ids."""
+
+from __future__ import annotations
+
+import re
+
+import msgspec
+
+MAX_EVENT_BYTES = 1024 * 1024
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_EVENT_ID = re.compile(rb"(?m)^id: ?(\d+)\r?$")
+
+
+class StreamEvent(msgspec.Struct, frozen=True):
+    """An event with its raw bytes; ``id`` is None where the event has none."""
+
+    id: int | None
+    data: bytes
+
+
+class EventSplitter:
+    """Splits received chunks at event boundaries."""
+
+    def __init__(self) -> None:
+        self._buffer = b""
+
+    @property
+    def has_partial_event(self) -> bool:
+        """Whether the buffer contains an incomplete event."""
+        return bool(self._buffer.strip())
+
+    def feed(self, chunk: bytes) -> list[StreamEvent]:
+        """Return the events that this chunk completes.
+
+        Raises
+        ------
+        ValueError
+            An event exceeds MAX_EVENT_BYTES.
+        """
+        self._buffer += chunk
+        events = []
+        while (end := _EVENT_END.search(self._buffer)) is not None:
+            data = self._buffer[: end.end()]
+            self._buffer = self._buffer[end.end() :]
+            found = _EVENT_ID.search(data)
+            events.append(StreamEvent(int(found[1]) if found else None, data))
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise ValueError("event too large")
+        return events
--- a/chutelink/relaying/stream.py
+++ b/chutelink/relaying/stream.py
@@ -1,4 +1,4 @@
-"""Relay streams event by event, going on at another endpoint where allowed."""
+"""Relay streams event by event, resuming at another endpoint where allowed."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from ..gateway.refusals import Refusal
 from .caller_stream import CallerStream
 from .dispatching import Exchanges
-from .events import EventSplitter, StreamEvent
 from .exchange import Exchange
-from .relay import AttemptResult, Relay, give_up
+from .relay import AttemptResult, Relay, make_refusal
+from .sse import EventSplitter, StreamEvent
 from .upstream import Upstream, WholeResponse, forwarded_headers
 
-FIRST_EVENT_OBJECTIVES = 2.0
-"""How many objectives an endpoint may take to its first event."""
-MIN_FIRST_EVENT_S = 1.5
-STALL_S = 1.5
-"""Silence within a stream after which another endpoint is tried.
+FIRST_EVENT_TIMEOUT_OBJECTIVES = 2.0
+"""Timeout of the first event, as a multiple of the route's objective."""
+MIN_FIRST_EVENT_TIMEOUT_S = 1.5
+DEFAULT_STALL_TIMEOUT_S = 1.5
+"""Time without an event after which another endpoint is tried.
 
-Of callers of whom it is not known how long they wait for the next event.
+Used where it is unknown how long callers wait for the next event.
 """
-STALL_SHARE = 0.75
-"""The same, as a share of the time that callers wait for the next event.
+STALL_TIMEOUT_SHARE = 0.75
+"""Stall timeout as a share of the time that callers wait for the next event.
 
-A less urgent stream may be silent for seconds while others are served first. Cut
-after 1.5 s each time, one whose caller would have waited for 20 s was never finished.
+A less urgent stream may be silent for seconds while others are served first. With a
+fixed timeout of 1.5 s, a stream whose caller would have waited for 20 s never finished.
 """
 MIN_RESUME_S = 0.2
-"""With less time left no other endpoint would get anything done."""
-FIRST_FAILURE = 300
+"""With less time left, resuming at another endpoint is of no use."""
+FIRST_NON_SUCCESS_STATUS = 300
 MIN_LEARNED_TOKENS = 1000
-"""Prompts that are read long enough to tell how fast an endpoint is."""
+"""Shorter prompts take too little time to measure an endpoint's prefill speed."""
 
 
 class StreamRelay:
@@ -52,44 +52,44 @@
     Parameters
     ----------
     core : Application
-        The owner.
-    exchanges : Exchanges
-        Tables and policies.
+        The application that owns this object.
+    dispatcher : Exchanges
+        Endpoint selection and its tables.
     upstream : Upstream
         Connections to endpoints.
     relay : Relay
-        Counts and judges attempts.
+        Tracks attempts and classifies responses.
     """
 
     def __init__(
         self,
         core: Application,
-        exchanges: Exchanges,
+        dispatcher: Exchanges,
         upstream: Upstream,
         relay: Relay,
     ) -> None:
         self._core = core
-        self._exchanges = exchanges
+        self._dispatcher = dispatcher
         self._upstream = upstream
         self._relay = relay
 
     async def async_relay(
         self, exchange: Exchange, caller: CallerStream
     ) -> WholeResponse | web.StreamResponse:
-        """Relay a stream; an answer that is none is returned whole.
+        """Relay a stream; a response that is not a stream is returned complete.
 
         Raises
         ------
         Refusal
-            Nothing was sent to the caller.
+            No endpoint served the request, and nothing was sent to the caller.
         """
         exchange.resume_after = exchange.meta.resume_after
         last: WholeResponse | None = None
         while True:
             try:
-                row = await self._relay.async_next(exchange, last)
+                row = await self._relay.async_next_endpoint(exchange, last)
             except Refusal:
-                if caller.is_begun:
+                if caller.has_sent_headers:
                     return caller.abort()
                 raise
             if row is None:
@@ -99,38 +99,38 @@
                 if answer is None:
                     return await caller.async_finish()
                 if answer.status < 500 or not exchange.is_repeatable:
-                    return answer if not caller.is_begun else caller.abort()
-                last = None if caller.is_begun else answer
-            if not self._may_go_on(exchange):
-                return self._end(exchange, caller, last)
+                    return answer if not caller.has_sent_headers else caller.abort()
+                last = None if caller.has_sent_headers else answer
+            if not self._can_retry(exchange):
+                return self._finish_failed(exchange, caller, last)
 
-    def _may_go_on(self, exchange: Exchange) -> bool:
+    def _can_retry(self, exchange: Exchange) -> bool:
         if exchange.may_have_run and not exchange.is_repeatable:
             return False
         if exchange.left_s(self._core.clock()) < MIN_RESUME_S:
             return False
-        return self._exchanges.may_repeat(exchange)
+        return self._dispatcher.may_repeat(exchange)
 
-    def _end(
+    def _finish_failed(
         self, exchange: Exchange, caller: CallerStream, last: WholeResponse | None
     ) -> WholeResponse | web.StreamResponse:
-        if caller.is_begun:
+        if caller.has_sent_headers:
             return caller.abort()
         if last is not None:
             return last
         is_late = exchange.left_s(self._core.clock()) <= 0
-        back_s = self._exchanges.retry_after_s(exchange)
-        raise give_up(exchange, back_s, is_late=is_late)
+        retry_delay_s = self._dispatcher.retry_after_s(exchange)
+        raise make_refusal(exchange, retry_delay_s, is_late=is_late)
 
     async def _async_attempt(
         self, exchange: Exchange, row: Endpoint, caller: CallerStream
     ) -> tuple[AttemptResult, WholeResponse | None]:
-        """Send to one endpoint; no answer with ANSWERED is a finished stream."""
+        """Send to one endpoint; ANSWERED without a response is a finished stream."""
         sent_s = self._core.clock()
         events_before = caller.events
         attempt = _Attempt(self, exchange, row, caller)
         try:
-            with self._relay.under_way(exchange, row):
+            with self._relay.track_in_flight(exchange, row):
                 return await attempt.async_run(sent_s)
         except EndpointUnreachable as error:
             self._relay.note_failure(exchange, row, AttemptResult.UNREACHABLE, error)
@@ -138,13 +138,13 @@
         except EndpointFailed as error:
             exchange.may_have_run = True
             self._relay.note_failure(exchange, row, AttemptResult.FAILED, error)
-            self._note_broken(exchange, row, caller.events - events_before, error)
+            self._log_broken_stream(exchange, row, caller.events - events_before, error)
             await self._relay.async_note_broken(exchange, row, error, sent_s)
             return AttemptResult.FAILED, None
         finally:
-            attempt.release()
+            attempt.stop_prefill()
 
-    def _note_broken(
+    def _log_broken_stream(
         self, exchange: Exchange, row: Endpoint, events: int, error: ChutelinkError
     ) -> None:
         self._core.events.record(
@@ -158,99 +158,110 @@
         )
 
 
-def stall_limit_s(route: Route) -> float | None:
-    """Return after what silence a stream goes on elsewhere; None where it may not."""
+def stall_timeout_s(route: Route) -> float | None:
+    """Return the stall timeout; None where a stream may not resume elsewhere."""
     if not route.is_repeatable:
         return None
-    return STALL_SHARE * route.patience_s if route.patience_s else STALL_S
+    return (
+        STALL_TIMEOUT_SHARE * route.patience_s
+        if route.patience_s
+        else DEFAULT_STALL_TIMEOUT_S
+    )
 
 
 class _Attempt:
-    """One endpoint's part of a stream."""
+    """One attempt to stream from an endpoint."""
 
     def __init__(
         self,
-        owner: StreamRelay,
+        stream_relay: StreamRelay,
         exchange: Exchange,
         row: Endpoint,
         caller: CallerStream,
     ) -> None:
-        self._owner = owner
+        self._stream_relay = stream_relay
         self._exchange = exchange
         self._row = row
         self._caller = caller
-        self._reading_s = 0.0
-        self._read_expected_s = 0.0
+        self._pending_prefill_s = 0.0
+        self._expected_prefill_s = 0.0
         self._longest_pause_s = 0.0
         self._first_event_s: float | None = None
 
     async def async_run(
         self, sent_s: float
     ) -> tuple[AttemptResult, WholeResponse | None]:
-        """Send the request and pass on what comes."""
-        owner, exchange, row = self._owner, self._exchange, self._row
-        self._claim_reading()
-        call = owner._exchanges.make_call(exchange, row)
+        """Send the request and forward the response."""
+        stream_relay, exchange, row = self._stream_relay, self._exchange, self._row
+        self._start_prefill()
+        call = stream_relay._dispatcher.make_call(exchange, row)
         limit_s = max(0.0, exchange.left_s(sent_s))
         try:
             async with asyncio.timeout(limit_s):
-                async with owner._upstream.async_open(row, call) as response:
-                    return await self._async_take(response, sent_s)
+                async with stream_relay._upstream.async_open(row, call) as response:
+                    return await self._async_handle_response(response, sent_s)
         except TimeoutError as error:
             raise EndpointFailed(
                 "no end in time", step="stream", peer=row.record.id
             ) from error
 
-    async def _async_take(
+    async def _async_handle_response(
         self, response: aiohttp.ClientResponse, sent_s: float
     ) -> tuple[AttemptResult, WholeResponse | None]:
         exchange, row = self._exchange, self._row
-        self._owner._exchanges.signals.note(
+        self._stream_relay._dispatcher.signals.note(
             exchange, row, response.status, response.headers, sent_s
         )
-        kind = self._owner._exchanges.dialect.classify(
+        kind = self._stream_relay._dispatcher.dialect.classify(
             response.status, response.headers, exchange.meta.id
         )
-        if kind is not AnswerKind.ANSWERED or response.status >= FIRST_FAILURE:
+        if (
+            kind is not AnswerKind.ANSWERED
+            or response.status >= FIRST_NON_SUCCESS_STATUS
+        ):
             body = b"" if kind is AnswerKind.FOREIGN else await response.read()
             answer = WholeResponse(response.status, response.headers, body)
-            took_s = self._owner._core.clock() - sent_s
+            took_s = self._stream_relay._core.clock() - sent_s
             if kind is AnswerKind.FOREIGN:
                 response.close()
-            return self._owner._relay.judge(exchange, row, answer, took_s), answer
-        await self._async_pass_on(response, sent_s)
-        self._owner._relay.note_good_run(exchange)
+            return self._stream_relay._relay.classify_answer(
+                exchange, row, answer, took_s
+            ), answer
+        await self._async_forward_events(response, sent_s)
+        self._stream_relay._relay.note_completed_run(exchange)
         self._note_duration()
         limit_s = exchange.route.max_pause_s
         is_paused = 0 < limit_s < self._longest_pause_s
-        self._owner._exchanges.loads.note_stream(row.record.id, is_paused=is_paused)
+        self._stream_relay._dispatcher.loads.note_stream(
+            row.record.id, is_paused=is_paused
+        )
         return AttemptResult.ANSWERED, None
 
-    async def _async_pass_on(
+    async def _async_forward_events(
         self, response: aiohttp.ClientResponse, sent_s: float
     ) -> None:
-        """Pass whole events on until the endpoint ends its answer."""
+        """Forward complete events until the endpoint ends its response."""
         caller, row = self._caller, self._row
         splitter = EventSplitter()
         headers = forwarded_headers(response.headers)
-        limit_s = self._first_limit_s()
+        limit_s = self._first_event_timeout_s()
         while True:
-            chunk = await self._async_chunk(response, limit_s)
+            chunk = await self._async_read_chunk(response, limit_s)
             if not chunk:
                 break
             for event in splitter.feed(chunk):
-                self._check_order(event)
-                await caller.async_begin(response.status, headers)
+                self._check_event_id(event)
+                await caller.async_send_headers(response.status, headers)
                 await caller.async_send(event)
                 self._note_event(sent_s)
-            limit_s = stall_limit_s(self._exchange.route)
-        if splitter.has_rest:
+            limit_s = stall_timeout_s(self._exchange.route)
+        if splitter.has_partial_event:
             raise ConnectionBroken(
                 "ended within an event", step="stream", peer=row.record.id
             )
-        await caller.async_begin(response.status, headers)
+        await caller.async_send_headers(response.status, headers)
 
-    async def _async_chunk(
+    async def _async_read_chunk(
         self, response: aiohttp.ClientResponse, limit_s: float | None
     ) -> bytes:
         try:
@@ -261,16 +272,18 @@
                 "silent within its answer", step="stream", peer=self._row.record.id
             ) from error
 
-    def _first_limit_s(self) -> float | None:
+    def _first_event_timeout_s(self) -> float | None:
         exchange = self._exchange
-        has_more = len(exchange.tried) < exchange.route.max_endpoints
-        if not exchange.is_repeatable or not has_more:
+        has_more_attempts = len(exchange.tried) < exchange.route.max_endpoints
+        if not exchange.is_repeatable or not has_more_attempts:
             return None
         objective_s = exchange.route.objective_s
-        return max(MIN_FIRST_EVENT_S, FIRST_EVENT_OBJECTIVES * objective_s)
+        return max(
+            MIN_FIRST_EVENT_TIMEOUT_S, FIRST_EVENT_TIMEOUT_OBJECTIVES * objective_s
+        )
 
-    def _check_order(self, event: StreamEvent) -> None:
-        """Refuse an event that does not follow the last one that was passed on."""
+    def _check_event_id(self, event: StreamEvent) -> None:
+        """Raise if an event does not directly follow the last one forwarded."""
         exchange = self._exchange
         if event.id is None:
             return
@@ -283,28 +296,32 @@
             )
         exchange.resume_after = event.id
 
-    def _claim_reading(self) -> None:
-        """Count the prompt as being read at the endpoint."""
-        exchanges, exchange, row = self._owner._exchanges, self._exchange, self._row
-        now_s = self._owner._core.clock()
+    def _start_prefill(self) -> None:
+        """Count the prompt as in prefill at the endpoint."""
+        dispatcher, exchange, row = (
+            self._stream_relay._dispatcher,
+            self._exchange,
+            self._row,
+        )
+        now_s = self._stream_relay._core.clock()
         chain = exchange.candidate.chain
-        cached = exchanges.prefixes.cached_parts(row.record.id, chain, now_s)
-        kept = exchange.candidate.chain_tokens[cached - 1] if cached else 0
-        tokens = max(0, exchange.meta.prompt_tokens - kept)
+        cached = dispatcher.prefixes.cached_parts(row.record.id, chain, now_s)
+        cached_tokens = exchange.candidate.chain_tokens[cached - 1] if cached else 0
+        tokens = max(0, exchange.meta.prompt_tokens - cached_tokens)
         before_s = row.reading_s + row.other_reading_s
-        self._reading_s = exchanges.speeds.read_s(exchange.meta.model, tokens)
-        row.reading_s += self._reading_s
-        if tokens >= MIN_LEARNED_TOKENS and before_s <= self._reading_s:
-            factor = exchanges.speeds.endpoint_factor(row.record.id)
-            self._read_expected_s = factor * (self._reading_s + before_s)
-        exchanges.note_prompt(exchange, row, self._reading_s)
-        exchanges.prefixes.note(row.record.id, chain, now_s)
-        exchanges.loads.note_prompt(row.record.id, chain)
+        self._pending_prefill_s = dispatcher.speeds.read_s(exchange.meta.model, tokens)
+        row.reading_s += self._pending_prefill_s
+        if tokens >= MIN_LEARNED_TOKENS and before_s <= self._pending_prefill_s:
+            factor = dispatcher.speeds.endpoint_factor(row.record.id)
+            self._expected_prefill_s = factor * (self._pending_prefill_s + before_s)
+        dispatcher.note_prompt(exchange, row, self._pending_prefill_s)
+        dispatcher.prefixes.note(row.record.id, chain, now_s)
+        dispatcher.loads.note_prompt(row.record.id, chain)
 
     def _note_event(self, sent_s: float) -> None:
-        """Note an event and the pause before it; with the first, a prompt is read."""
+        """Record an event and the pause before it; the first one ends prefill."""
         exchange, caller = self._exchange, self._caller
-        now_s = self._owner._core.clock()
+        now_s = self._stream_relay._core.clock()
         if caller.last_event_s is not None:
             pause_s = now_s - caller.last_event_s
             exchange.longest_pause_s = max(exchange.longest_pause_s, pause_s)
@@ -312,28 +329,28 @@
         caller.last_event_s = now_s
         if self._first_event_s is None:
             self._first_event_s = now_s
-        if not self._reading_s:
+        if not self._pending_prefill_s:
             return
-        self.release()
-        core = self._owner._core
+        self.stop_prefill()
+        core = self._stream_relay._core
         if self._exchange.first_event_s is None:
             self._exchange.first_event_s = core.clock() - self._exchange.started_s
         took_s = core.clock() - sent_s
         endpoint = self._row.record.id
-        exchanges = self._owner._exchanges
-        exchanges.health.note_success(endpoint, core.clock(), took_s)
-        exchanges.speeds.note(
-            exchange.meta.model, endpoint, self._read_expected_s, took_s
+        dispatcher = self._stream_relay._dispatcher
+        dispatcher.health.note_success(endpoint, core.clock(), took_s)
+        dispatcher.speeds.note(
+            exchange.meta.model, endpoint, self._expected_prefill_s, took_s
         )
 
     def _note_duration(self) -> None:
-        """Learn how long this part of the stream held a place."""
+        """Record how long this attempt occupied a batch slot."""
         if self._first_event_s is None:
             return
-        took_s = self._owner._core.clock() - self._first_event_s
-        self._owner._exchanges.durations.note(self._exchange.meta.model, took_s)
+        took_s = self._stream_relay._core.clock() - self._first_event_s
+        self._stream_relay._dispatcher.durations.note(self._exchange.meta.model, took_s)
 
-    def release(self) -> None:
-        """Stop counting the prompt as being read."""
-        self._row.reading_s = max(0.0, self._row.reading_s - self._reading_s)
-        self._reading_s = 0.0
+    def stop_prefill(self) -> None:
+        """Stop counting the prompt as in prefill."""
+        self._row.reading_s = max(0.0, self._row.reading_s - self._pending_prefill_s)
+        self._pending_prefill_s = 0.0
--- a/chutelink/relaying/upstream.py
+++ b/chutelink/relaying/upstream.py
@@ -1,4 +1,4 @@
-"""Send requests to endpoints, and tell what became of each."""
+"""HTTP client for endpoints that distinguishes unsent from failed requests."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from ..exceptions import ConnectionBroken, EndpointFailed, EndpointUnreachable
 
 CONNECT_TIMEOUT_S = 0.6
-"""Endpoints are a few ms away; one that is cut off does not answer at all."""
-KEEPALIVE_S = 4.0
-"""Idle connections are closed before endpoints close them."""
-HOP_HEADERS = frozenset(
+"""Endpoints are a few ms away; an unreachable one does not answer at all."""
+KEEPALIVE_TIMEOUT_S = 4.0
+"""Shorter than the endpoints' timeout, so that idle connections are closed here."""
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -34,29 +34,31 @@
         "expect",
     }
 )
-"""Headers that concern one connection only, or that the client library sets."""
-NO_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+"""Hop-by-hop headers, and those that the client library sets."""
+SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
-class _Opening(msgspec.Struct):
-    """Whether a call opened a connection, instead of using a kept one."""
+class _ConnectionTracker(msgspec.Struct):
+    """Records whether a call opened a connection or reused a pooled one."""
 
     is_new: bool = False
 
 
-_OPENING: ContextVar[_Opening | None] = ContextVar("opening", default=None)
-"""What the connector notes for the call of the task that it runs in."""
+_CONNECTION_TRACKER: ContextVar[_ConnectionTracker | None] = ContextVar(
+    "opening", default=None
+)
+"""Set by the connector for the call of the current task."""
 
 
 class _StrictResponseHandler(ResponseHandler):
-    """Treats a body that ends with a reset as broken off.
+    """Treats a body that ends with a connection reset as incomplete.
 
-    The library takes a body without a length for whole whichever way its
-    connection ends.
+    The library takes a body without a length as complete however its connection
+    ends.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail the body before the parser may take it for complete."""
+        """Fail the body before the parser can treat it as complete."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"reset: {exc!r}"))
@@ -64,7 +66,7 @@
 
 
 class _StrictConnector(aiohttp.TCPConnector):
-    """Connects with the strict handler."""
+    """Connector that uses the strict response handler."""
 
     def __init__(self, *, is_pooled: bool) -> None:
         super().__init__(
@@ -72,23 +74,23 @@
             limit_per_host=0,
             use_dns_cache=False,
             force_close=not is_pooled,
-            **({"keepalive_timeout": KEEPALIVE_S} if is_pooled else {}),
+            **({"keepalive_timeout": KEEPALIVE_TIMEOUT_S} if is_pooled else {}),
         )
         self._factory = self._make_handler
 
     def _make_handler(self) -> _StrictResponseHandler:
-        """Return the handler of a new connection, and note that there is one."""
-        opening = _OPENING.get()
-        if opening is not None:
-            opening.is_new = True
+        """Return the handler of a new connection, and record that it is new."""
+        tracker = _CONNECTION_TRACKER.get()
+        if tracker is not None:
+            tracker.is_new = True
         return _StrictResponseHandler(loop=self._loop)
 
 
 class EndpointCall(msgspec.Struct, frozen=True):
-    """A request as it goes to an endpoint; ``target`` is the raw path and query.
+    """A request to an endpoint; ``target`` is the raw path and query.
 
-    ``is_repeatable`` says that a kept connection may be used, which the endpoint
-    may just have closed.
+    ``is_repeatable`` allows the use of a pooled connection, which the endpoint may
+    just have closed.
     """
 
     method: str
@@ -100,7 +102,7 @@
 
 
 class WholeResponse(msgspec.Struct, frozen=True):
-    """An answer that was read to its end."""
+    """A response that was read completely."""
 
     status: int
     headers: CIMultiDictProxy[str]
@@ -110,37 +112,37 @@
 class Upstream:
     """Connections to endpoints.
 
-    Kept ones are for calls that may be repeated; any other gets its own.
+    Pooled connections are used for repeatable calls; each other call opens its own.
     """
 
     def __init__(self) -> None:
         self._pooled = _make_session(is_pooled=True)
-        self._single = _make_session(is_pooled=False)
+        self._unpooled = _make_session(is_pooled=False)
 
     async def async_close(self) -> None:
         """Close all connections."""
         await self._pooled.close()
-        await self._single.close()
+        await self._unpooled.close()
 
     @asynccontextmanager
     async def async_open(
         self, endpoint: Endpoint, call: EndpointCall
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a call and yield the answer once its headers are there.
+        """Send a call and yield the response once its headers have arrived.
 
         Raises
         ------
         EndpointUnreachable
-            Nothing was sent.
+            The connection failed; nothing was sent.
         ConnectionBroken
-            The call may have been run.
+            The call may have run.
         """
-        session = self._pooled if call.is_repeatable else self._single
+        session = self._pooled if call.is_repeatable else self._unpooled
         headers = CIMultiDict(call.headers)
         headers["Host"] = call.host
         peer = endpoint.record.id
-        opening = _Opening()
-        _OPENING.set(opening)
+        tracker = _ConnectionTracker()
+        _CONNECTION_TRACKER.set(tracker)
         try:
             async with session.request(
                 call.method,
@@ -148,7 +150,7 @@
                 headers=headers,
                 data=call.body or None,
                 allow_redirects=False,
-                skip_auto_headers=NO_AUTO_HEADERS,
+                skip_auto_headers=SKIPPED_AUTO_HEADERS,
             ) as response:
                 yield response
         except aiohttp.ClientConnectorError as error:
@@ -156,31 +158,31 @@
                 str(error), step="endpoint.connect", peer=peer
             ) from error
         except aiohttp.ServerTimeoutError as error:
-            # Only connecting has a limit of its own.
+            # Only connecting has a timeout in this session.
             raise EndpointUnreachable(
                 str(error), step="endpoint.connect", peer=peer
             ) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
             message = str(error) or type(error).__name__
             broken = ConnectionBroken(message, step="endpoint.exchange", peer=peer)
-            broken.is_new_connection = opening.is_new
+            broken.is_new_connection = tracker.is_new
             raise broken from error
         except ConnectionBroken as error:
-            # Of whoever reads the answer.
-            error.is_new_connection = opening.is_new
+            # Raised by the code that reads the response.
+            error.is_new_connection = tracker.is_new
             raise
 
     async def async_exchange(
         self, endpoint: Endpoint, call: EndpointCall, limit_s: float
     ) -> WholeResponse:
-        """Send a call and return the whole answer.
+        """Send a call and return the complete response.
 
         Raises
         ------
         EndpointUnreachable
-            Nothing was sent.
+            The connection failed; nothing was sent.
         EndpointFailed
-            It may have been run; also when the time is over.
+            The call may have run; also raised on a timeout.
         """
         try:
             async with (
@@ -202,14 +204,14 @@
         cookie_jar=aiohttp.DummyCookieJar(),
         timeout=aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S),
     )
-    # The library would send some calls again by itself; the relay decides that.
+    # Retries are decided by the relay; the library would retry some calls itself.
     session._retry_connection = False
     return session
 
 
 def forwarded_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """Return the headers that concern more than one connection."""
-    named = {
+    """Return the end-to-end headers."""
+    connection_options = {
         name.strip().lower()
         for value in headers.getall("Connection", ())
         for name in value.split(",")
@@ -217,5 +219,6 @@
     return CIMultiDict(
         (name, value)
         for name, value in headers.items()
-        if name.lower() not in HOP_HEADERS and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP_HEADERS
+        and name.lower() not in connection_options
     )
--- a/chutelink/relaying/waiting.py
+++ b/chutelink/relaying/waiting.py
@@ -1,35 +1,35 @@
-"""How long a request waits for a model that no endpoint has. Pure.
+"""How long a request waits for a model that no endpoint has. Pure functions.
 
-Answers the load that comes with moves of demand and with rarely used models: what
-will be answered in time waits, everything else is told at once when to come back.
+Shifts of demand and rarely used models cause such requests. A request that can be
+answered in time waits; any other is refused at once with a Retry-After delay.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-ASK_SHARE = 1 / 8
-"""Share of the objective that a request waits for word of a load.
+ANNOUNCEMENT_WAIT_SHARE = 1 / 8
+"""Share of the objective that a request waits for the announcement of a load.
 
-Being held for longer without being served costs the caller more than a refusal, by
-the operators' account; daemons and the placer hear of each other in some 20 ms.
+According to the operators, a longer wait without being served costs the caller more
+than a refusal. Messages between daemons and the placer take about 20 ms.
 """
 RETRY_SHARE = 1 / 3
-"""Callers come back at the latest after a third of the time they have left."""
+"""Upper bound of the Retry-After delay, as a share of the caller's remaining time."""
 LOAD_MARGIN_S = 0.1
-"""How much later than announced a load usually is there."""
-MIN_BACK_S = 0.5
-"""Callers are not told to come back sooner than this for a model."""
+"""How much later than announced a load usually completes."""
+MIN_RETRY_DELAY_S = 0.5
+"""Lower bound of the Retry-After delay of a request for a missing model."""
 
 
 class ModelWait(msgspec.Struct, frozen=True):
     """A request that waits for its model, as of ``now_s``.
 
-    ``last_s`` is when its caller leaves if nothing has come, ``read_s`` how long
-    its prompt takes. ``copy_load_s`` and ``cold_load_s`` are the times of loads
-    from an endpoint's disk and from the weight store; ``ready_s`` is when the model
-    was announced, None where no load is on its way. ``is_held_off`` says that an
-    endpoint has it that takes no more requests for now.
+    ``last_s`` is when its caller gives up without a first event, ``read_s`` the
+    prefill time of its prompt. ``copy_load_s`` and ``cold_load_s`` are the durations
+    of loads from an endpoint's disk and from the weight store. ``ready_s`` is the
+    announced completion of a load, None if none is in progress. ``is_held_off`` says
+    that an endpoint has the model, but accepts no requests for now.
     """
 
     now_s: float
@@ -44,18 +44,18 @@
 
     @property
     def due_s(self) -> float:
-        """When the first byte must be there to be in time."""
+        """The time by which the first byte meets the objective."""
         return self.started_s + self.objective_s
 
 
 def wait_until_s(wait: ModelWait) -> float:
-    """Return until when to wait on; a time that is past is a refusal at once."""
+    """Return until when to wait; a time not after ``now_s`` means refusal at once."""
     if wait.ready_s is None:
-        return _word_until_s(wait)
+        return _announcement_until_s(wait)
     answer_s = wait.ready_s + wait.read_s
     if answer_s <= wait.due_s:
         return wait.due_s
-    if _can_come_back(wait, wait.ready_s):
+    if _can_retry_in_time(wait, wait.ready_s):
         return wait.now_s
     if answer_s + LOAD_MARGIN_S < wait.last_s:
         return wait.last_s
@@ -63,35 +63,37 @@
 
 
 def back_in_s(wait: ModelWait) -> float:
-    """Return when a caller that is refused should come back, from now on.
+    """Return the Retry-After delay of a refused request.
 
-    Where no load is on its way, a load that is begun now would be done by then,
-    from wherever the weights come.
+    If no load is in progress, the delay covers a load that starts now, even one from
+    the weight store.
     """
     ready_s = wait.ready_s
     if ready_s is None:
         ready_s = wait.now_s + wait.cold_load_s
-    return max(MIN_BACK_S, ready_s + LOAD_MARGIN_S - wait.now_s)
+    return max(MIN_RETRY_DELAY_S, ready_s + LOAD_MARGIN_S - wait.now_s)
 
 
-def _word_until_s(wait: ModelWait) -> float:
-    """Return until when a load from a copy could still begin in time.
+def _announcement_until_s(wait: ModelWait) -> float:
+    """Return until when to wait for the announcement of a load.
 
-    Requests with an objective of seconds wait for their model's turn: endpoints
-    load one model after the other, and a caller that comes back only queues anew. One
-    that leaves before its objective is over is told while it can still come back. Where
-    an endpoint has the model, it may take requests again before a load is done.
+    This is the latest start of a load from a local copy that meets the objective.
+    Requests with an objective of seconds wait that long because endpoints load one
+    model after the other, and a caller that retries only queues again. A caller that
+    gives up before its objective is refused while it can still retry. If an endpoint
+    has the model, the wait is short: the endpoint may accept requests again before a
+    load completes.
     """
-    ask_s = wait.started_s + ASK_SHARE * wait.objective_s
+    announcement_s = wait.started_s + ANNOUNCEMENT_WAIT_SHARE * wait.objective_s
     if wait.is_held_off:
-        return ask_s
+        return announcement_s
     latest_s = min(wait.due_s, wait.last_s)
-    turn_s = latest_s - wait.copy_load_s - LOAD_MARGIN_S - wait.read_s
-    return max(ask_s, turn_s)
+    latest_load_start_s = latest_s - wait.copy_load_s - LOAD_MARGIN_S - wait.read_s
+    return max(announcement_s, latest_load_start_s)
 
 
-def _can_come_back(wait: ModelWait, ready_s: float) -> bool:
-    """Return whether the caller would be back soon after the load."""
-    is_early = wait.now_s - wait.started_s < ASK_SHARE * wait.objective_s
-    back_s = ready_s + LOAD_MARGIN_S - wait.now_s
-    return is_early and back_s < RETRY_SHARE * (wait.last_s - wait.now_s)
+def _can_retry_in_time(wait: ModelWait, ready_s: float) -> bool:
+    """Return whether a retry soon after the load would still be in time."""
+    is_early = wait.now_s - wait.started_s < ANNOUNCEMENT_WAIT_SHARE * wait.objective_s
+    retry_delay_s = ready_s + LOAD_MARGIN_S - wait.now_s
+    return is_early and retry_delay_s < RETRY_SHARE * (wait.last_s - wait.now_s)
--- a/tests/relaying/test_stream.py
+++ b/tests/relaying/test_stream.py
@@ -8,7 +8,7 @@
 import pytest
 
 from chutelink.entry.news import PendingLoad
-from chutelink.relaying.stream import stall_limit_s
+from chutelink.relaying.stream import stall_timeout_s
 from standins.prepared_config import make_config
 
 from .world import SERVICES, async_world
@@ -278,8 +278,8 @@
             routes[0] |= {"slo_ms": objective_ms, "gap_target_ms": max_pause_ms}
             world.configure(routes=routes)
             stream, once, _ = world.route_table().config.routes
-            assert stall_limit_s(stream) == pytest.approx(limit_s)
-            assert stall_limit_s(once) is None
+            assert stall_timeout_s(stream) == pytest.approx(limit_s)
+            assert stall_timeout_s(once) is None
 
     asyncio.run(async_test())
 
--- a/tests/relaying/test_waiting.py
+++ b/tests/relaying/test_waiting.py
@@ -7,7 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chutelink.relaying.waiting import ASK_SHARE, ModelWait, back_in_s, wait_until_s
+from chutelink.relaying.waiting import (
+    ANNOUNCEMENT_WAIT_SHARE,
+    ModelWait,
+    back_in_s,
+    wait_until_s,
+)
 
 URGENT = ModelWait(
     now_s=100.0,
@@ -73,7 +78,7 @@
         return
     assert until_s <= max(wait.last_s, wait.due_s)
     if wait.ready_s is None:
-        assert until_s <= wait.started_s + max(ASK_SHARE, 1) * objective_s
+        assert until_s <= wait.started_s + max(ANNOUNCEMENT_WAIT_SHARE, 1) * objective_s
     else:
         assert wait.ready_s + wait.read_s <= until_s
 
