--- a/chutelink/relaying/backpressure.py
+++ b/chutelink/relaying/backpressure.py
@@ -53,12 +53,12 @@
             for row in rows
             if not row.is_paused(now_s) and row.limit.next_send_s <= latest_s
         ]
-        first = [
+        preferred = [
             row
             for row in rows
             if not row.limit.is_limited or row.limit.is_doubtful(now_s)
         ]
-        return first or rows
+        return preferred or rows
 
     async def async_admit(self, exchange: Exchange, row: Endpoint) -> bool:
         """Wait for a permit if needed; return whether the request may be sent now.
@@ -86,10 +86,10 @@
         don't retry at the same time.
         """
         now_s = self._core.clock()
-        open_s = [row.open_from_s(now_s) for row in rows]
-        if not open_s or None in open_s:
+        available_from_s = [row.open_from_s(now_s) for row in rows]
+        if not available_from_s or None in available_from_s:
             return None
-        wait_s = max(MIN_BACK_S, min(open_s) - now_s)
+        wait_s = max(MIN_BACK_S, min(available_from_s) - now_s)
         return self._core.rng.uniform(wait_s, 2 * wait_s)
 
     def _max_delay_s(self, exchange: Exchange, now_s: float) -> float:
--- a/chutelink/relaying/dispatching.py
+++ b/chutelink/relaying/dispatching.py
@@ -91,7 +91,7 @@
         self._model_waiter = ModelWaiter(core, table, speeds, pending, loads)
         self.signals = SignalReader(core, dialect, table, loads)
         self._back_pressure = BackPressureGate(core, table, permits)
-        self.is_closing = False
+        self.is_stopping = False
         self.on_prompt: Callable[[PromptNews], None] = lambda _: None
         self.on_second_run: Callable[[Exchange], None] = lambda _: None
         """Called when a request that may have run is sent again."""
@@ -99,7 +99,7 @@
 
     def stop_waiting(self) -> None:
         """Refuse requests that wait for a model, also later ones; used on shutdown."""
-        self.is_closing = self._model_waiter.is_closing = True
+        self.is_stopping = self._model_waiter.is_stopping = True
         self.pending.signal()
 
     def make_candidate(self, meta: RequestMeta, route: Route) -> Candidate:
@@ -210,7 +210,7 @@
             if (
                 capacity_in_s <= 0
                 or now_s + capacity_in_s > latest_s
-                or self.is_closing
+                or self.is_stopping
             ):
                 break
             await asyncio.sleep(capacity_in_s)
@@ -313,7 +313,7 @@
             exchange.is_repeatable,
         )
 
-    def may_repeat(self, exchange: Exchange) -> bool:
+    def take_retry(self, exchange: Exchange) -> bool:
         """Return whether a request may be retried; if so, take one from the budget."""
         if len(exchange.tried) >= exchange.route.max_endpoints:
             return False
--- a/chutelink/relaying/model_waiter.py
+++ b/chutelink/relaying/model_waiter.py
@@ -50,7 +50,7 @@
         self._speeds = speeds
         self._pending = pending
         self._loads = loads
-        self.is_closing = False
+        self.is_stopping = False
 
     async def async_wait(
         self, exchange: Exchange, choose: Callable[[Exchange], Endpoint | None]
@@ -80,7 +80,7 @@
         while True:
             wait = self._make_wait(exchange)
             until_s = wait_until_s(wait)
-            if until_s <= wait.now_s or self.is_closing:
+            if until_s <= wait.now_s or self.is_stopping:
                 raise self._make_refusal(exchange, wait)
             await self._pending.async_wait(until_s - wait.now_s)
             row = choose(exchange)
@@ -140,10 +140,10 @@
         It counts as patient: by then there is time for a load.
         """
         left_s = exchange.left_s(self._core.clock())
-        back_in_s = min(refusal.retry_after_s, RETRY_SHARE * left_s)
+        retry_delay_s = min(refusal.retry_after_s, RETRY_SHARE * left_s)
         meta = exchange.meta
         self._loads.begin_wait(meta.model, meta.adapter, is_patient=True)
-        self._loads.keep_wait(meta.model, meta.adapter, back_in_s)
+        self._loads.keep_wait(meta.model, meta.adapter, retry_delay_s)
 
 
 def can_be_loaded(exchange: Exchange) -> bool:
--- a/chutelink/relaying/relay.py
+++ b/chutelink/relaying/relay.py
@@ -102,7 +102,7 @@
         is_retry_safe = exchange.is_repeatable or not exchange.may_have_run
         if not is_retry_safe or exchange.left_s(self._dispatcher.core.clock()) <= 0:
             return False
-        return self._dispatcher.may_repeat(exchange)
+        return self._dispatcher.take_retry(exchange)
 
     async def _async_attempt(
         self, exchange: Exchange, row: Endpoint
--- a/chutelink/relaying/stream.py
+++ b/chutelink/relaying/stream.py
@@ -109,7 +109,7 @@
             return False
         if exchange.left_s(self._core.clock()) < MIN_RESUME_S:
             return False
-        return self._dispatcher.may_repeat(exchange)
+        return self._dispatcher.take_retry(exchange)
 
     def _finish_failed(
         self, exchange: Exchange, caller: CallerStream, last: WholeResponse | None
