--- a/tests/relaying/test_limits.py
+++ b/tests/relaying/test_limits.py
@@ -50,9 +50,9 @@
             other = await harness.async_add("i-2", service, models)
             statuses = await async_send(harness, path, 60, **headers)
             assert set(statuses) == {200}
-            got = most_in_window(limited.arrived_s, LIMIT_WINDOW_S)
-            assert got <= allowed_in_window(1.0)
-            assert len(other.runs) >= 60 - got
+            most_received = most_in_window(limited.arrived_s, LIMIT_WINDOW_S)
+            assert most_received <= allowed_in_window(1.0)
+            assert len(other.runs) >= 60 - most_received
 
     asyncio.run(async_test())
 
@@ -67,8 +67,8 @@
             limited = await async_add_limited(harness, "i-1", service, models)
             statuses = await async_send(harness, path, 40, **headers)
             assert set(statuses) == {200, 503}
-            got = most_in_window(limited.arrived_s, LIMIT_WINDOW_S)
-            assert got <= allowed_in_window(1.0)
+            most_received = most_in_window(limited.arrived_s, LIMIT_WINDOW_S)
+            assert most_received <= allowed_in_window(1.0)
 
     asyncio.run(async_test())
 
@@ -122,8 +122,8 @@
             harness.pending.signal()
             statuses = [status for done in waiting for status in await done]
             assert set(statuses) <= {200, 503}
-            got = most_in_window(endpoint.arrived_s, LIMIT_WINDOW_S)
-            assert got <= allowed_in_window(1.0)
+            most_received = most_in_window(endpoint.arrived_s, LIMIT_WINDOW_S)
+            assert most_received <= allowed_in_window(1.0)
 
     asyncio.run(async_test())
 
--- a/tests/relaying/test_relay.py
+++ b/tests/relaying/test_relay.py
@@ -27,12 +27,16 @@
         async with async_world() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
-            asked = {"X_Hold": "h1", "x_pin_ms": "500", "Kv_From": "10.0.0.1:80/q"}
-            asked |= {"X_Kv_Backup": "10.0.0.1:80", "X_Request_Urgency": "0"}
-            async with harness.request("/once/x", **asked) as answer:
+            reserved_headers = {
+                "X_Hold": "h1",
+                "x_pin_ms": "500",
+                "Kv_From": "10.0.0.1:80/q",
+            }
+            reserved_headers |= {"X_Kv_Backup": "10.0.0.1:80", "X_Request_Urgency": "0"}
+            async with harness.request("/once/x", **reserved_headers) as answer:
                 assert answer.status == 200
             sent = {name.lower() for name in endpoint.seen[0]}
-            names = {name.replace("_", "-").lower() for name in asked}
+            names = {name.replace("_", "-").lower() for name in reserved_headers}
             assert not sent & names
 
     asyncio.run(async_test())
