--- a/chutelink/director/app.py
+++ b/chutelink/director/app.py
@@ -8,8 +8,8 @@
 from ..settings import DirectorSettings
 from ..tables.members import MemberState, Role
 from ..tables.state import StateTable
-from .leases import LeaseKeeper
-from .orders import OrderDesk
+from .leases import LeaseManager
+from .orders import OrderExecutor
 from .placer import Placer
 
 
@@ -20,7 +20,7 @@
 
     def __init__(self, settings: DirectorSettings) -> None:
         super().__init__("chutelink-director", settings)
-        self.leases: LeaseKeeper | None = None
+        self.leases: LeaseManager | None = None
         self.placer: Placer | None = None
         self._watched_domains: frozenset[str] = frozenset()
 
@@ -29,8 +29,8 @@
         settings = self.settings.director
         table = self.platform.table
         state = StateTable()
-        self.leases = LeaseKeeper(self, table, settings)
-        desk = OrderDesk(
+        self.leases = LeaseManager(self, table, settings)
+        executor = OrderExecutor(
             self, table, self.client, self.leases, state, settings.order_timeout_s
         )
         self.placer = Placer(
@@ -40,16 +40,16 @@
             self.endpoints,
             self.monitor,
             self.leases,
-            desk,
+            executor,
             state,
             settings,
             self.mesh.queues.waiting,
         )
-        desk.on_loaded = self._tell_loaded
-        self.leases.on_change = self._watch_held
+        executor.on_loaded = self._announce_loaded
+        self.leases.on_change = self._update_watched
         self.leases.has_director = self._has_director
-        for part in (self.leases, self.placer):
-            await self.add_runtime_dependency(part)
+        for component in (self.leases, self.placer):
+            await self.add_runtime_dependency(component)
 
     def is_watched(self, name: EndpointName) -> bool:
         """Return whether the endpoint's failure domain is held here."""
@@ -60,7 +60,7 @@
         """Contend for the failure domains of the fleet in force."""
         self.leases.sync(sorted(self.keeper.fleet.failure_domains))
 
-    def _tell_loaded(self, name: EndpointName) -> None:
+    def _announce_loaded(self, name: EndpointName) -> None:
         """Let gateways read an endpoint's report before another is unloaded."""
         self.mesh.broadcast(encode_loaded(EndpointLoaded(name)), TOPIC_LOADED)
 
@@ -72,7 +72,7 @@
             for member in self.members.live(Role.DIRECTOR)
         )
 
-    def _watch_held(self) -> None:
+    def _update_watched(self) -> None:
         """Poll just the endpoints of the failure domains that are held."""
         held = frozenset(self.leases.held())
         if held == self._watched_domains:
@@ -96,5 +96,5 @@
         self.mesh.announce_leaving()
         self.leases.is_releasing = True
         await self.placer.stop()
-        await self.placer.async_settle()
+        await self.placer.async_wait_for_tasks()
         await self.leases.async_release()
--- a/chutelink/director/health.py
+++ b/chutelink/director/health.py
@@ -14,7 +14,7 @@
 from ..store import Check, TableService, Write, async_commit
 from ..tables.endpoints import Endpoint, EndpointState, EndpointTable
 from ..tables.state import HealthRow, StateTable
-from .leases import LeaseKeeper
+from .leases import LeaseManager
 
 DEMAND_SMOOTHING = 0.2
 DEMAND_STEP = 4
@@ -44,24 +44,24 @@
         core: Application,
         table: TableService,
         endpoints: EndpointTable,
-        leases: LeaseKeeper,
-        shared: StateTable,
+        leases: LeaseManager,
+        state: StateTable,
         waiting: Callable[[FailureDomainName, float], dict[str, int]],
     ) -> None:
         self._core = core
         self._table = table
         self._endpoints = endpoints
         self._leases = leases
-        self._shared = shared
+        self._state = state
         self._waiting = waiting
         self._demand: dict[FailureDomainName, dict[str, float]] = {}
 
     async def async_publish(self, fleet: FleetSpec, domain: FailureDomainName) -> None:
         """Tell the other directors, only when something has changed."""
         health = self._observe_health(fleet, domain)
-        if health == self._shared.health.get(domain):
+        if health == self._state.health.get(domain):
             return
-        version = self._shared.health_versions.get(domain, 0)
+        version = self._state.health_versions.get(domain, 0)
         key = PREFIX_HEALTH + domain
         term_version = self._leases.check_held(domain, "health.write")
         try:
@@ -74,36 +74,38 @@
                 [Write(key, msgspec.to_builtins(health))],
             )
         except TransactionConflict:
-            self._shared.forget_version()
+            self._state.forget_version()
             return
-        self._shared.put_health(domain, health, written)
+        self._state.put_health(domain, health, written)
 
     def _observe_health(self, fleet: FleetSpec, domain: FailureDomainName) -> HealthRow:
         usable: list[EndpointName] = []
-        seen: dict[str, float] = {}
+        observed: dict[str, float] = {}
         for spec in fleet.engines():
             row = self._endpoints.rows.get(spec.name)
             if spec.failure_domain != domain or row is None:
                 continue
             if row.state is EndpointState.LIVE:
                 usable.append(spec.name)
-            self._add_demand(fleet, row, seen)
+            self._add_demand(fleet, row, observed)
         # An engine's own queue is short: what is in excess waits in the gateways.
         for name, count in self._waiting(domain, self._core.clock()).items():
-            seen[name] = seen.get(name, 0.0) + count
-        smooth = self._demand.setdefault(domain, {})
+            observed[name] = observed.get(name, 0.0) + count
+        averages = self._demand.setdefault(domain, {})
         for model in fleet.models:
-            before = smooth.get(model, 0.0)
-            smooth[model] = before + DEMAND_SMOOTHING * (seen.get(model, 0.0) - before)
-        known = self._shared.health.get(domain, HealthRow()).demand
+            previous = averages.get(model, 0.0)
+            averages[model] = previous + DEMAND_SMOOTHING * (
+                observed.get(model, 0.0) - previous
+            )
+        known = self._state.health.get(domain, HealthRow()).demand
         demand = {
-            model: _settle_step(value, known.get(model, 0))
-            for model, value in smooth.items()
+            model: _round_demand(value, known.get(model, 0))
+            for model, value in averages.items()
         }
         return HealthRow(tuple(usable), {m: d for m, d in demand.items() if d})
 
     def _add_demand(
-        self, fleet: FleetSpec, row: Endpoint, seen: dict[str, float]
+        self, fleet: FleetSpec, row: Endpoint, observed: dict[str, float]
     ) -> None:
         if row.report is None or row.state is EndpointState.LOST:
             return
@@ -111,10 +113,10 @@
             model = fleet.base_model(held.name)
             if model is not None:
                 count = held.running + held.waiting
-                seen[model.name] = seen.get(model.name, 0.0) + count
+                observed[model.name] = observed.get(model.name, 0.0) + count
 
 
-def _settle_step(value: float, known: int) -> int:
+def _round_demand(value: float, known: int) -> int:
     """Round to steps, keeping the known value within a step of it."""
     if known and abs(value - known) < DEMAND_STEP:
         return known if value >= 0.5 else 0
--- a/chutelink/director/leases.py
+++ b/chutelink/director/leases.py
@@ -22,11 +22,11 @@
 from ..tables.leases import Lease, LeaseRow, LeaseState, TermRow
 
 RENEWALS_PER_LEASE = 4
-FOREIGN_PATIENCE = 3.0
+FOREIGN_WAIT_FACTOR = 3.0
 """A lease of another failure domain is left to its own directors for longer."""
 
 
-class LeaseKeeper(Service):
+class LeaseManager(Service):
     """Contends for leases and renews those held.
 
     Parameters
@@ -92,7 +92,7 @@
 
     async def _async_tick(self) -> None:
         try:
-            await self._async_watch()
+            await self._async_refresh()
         except PlatformUnavailable as error:
             self._core.events.warning("lease_watch_failed", error=error)
             return
@@ -103,9 +103,9 @@
                 self._lose(lease)
             except (PlatformUnavailable, WriteOutcomeUnknown) as error:
                 self._core.events.warning("lease_write_failed", error=error)
-        self._show()
+        self._notify_change()
 
-    async def _async_watch(self) -> None:
+    async def _async_refresh(self) -> None:
         page = await self._table.async_read(PREFIX_LEASE)
         now_s = self._core.clock()
         for name, lease in self.leases.items():
@@ -116,21 +116,23 @@
     async def _async_contend(self, lease: Lease) -> None:
         now_s = self._core.clock()
         if lease.state is LeaseState.HELD:
-            if not self._is_own(lease) and self.has_director(lease.failure_domain):
-                await self._async_give_back(lease)
+            if not self._is_own_domain(lease) and self.has_director(
+                lease.failure_domain
+            ):
+                await self._async_release_lease(lease)
             else:
                 await self._async_renew(lease)
-        elif lease.may_take(now_s, self._patience_s(lease)):
+        elif lease.may_take(now_s, self._takeover_wait_s(lease)):
             await self._async_take(lease)
 
-    def _patience_s(self, lease: Lease) -> float:
+    def _takeover_wait_s(self, lease: Lease) -> float:
         """Return how long the row must be unchanged before it may be taken."""
-        if self._is_own(lease):
+        if self._is_own_domain(lease):
             return 0.0 if lease.is_free else self._settings.lease_s
-        factor = 1.0 if lease.is_free else FOREIGN_PATIENCE
+        factor = 1.0 if lease.is_free else FOREIGN_WAIT_FACTOR
         return self._settings.lease_s * factor
 
-    def _is_own(self, lease: Lease) -> bool:
+    def _is_own_domain(self, lease: Lease) -> bool:
         return lease.failure_domain == self._core.daemon.failure_domain
 
     async def _async_renew(self, lease: Lease) -> None:
@@ -183,16 +185,16 @@
         if lease.state is LeaseState.HELD:
             self._core.events.warning("lease_lost", failure_domain=lease.failure_domain)
         lease.lose(self._core.clock())
-        self._show()
+        self._notify_change()
 
     async def async_release(self) -> None:
         """Give all leases back, so that others need not wait for their end."""
         self.is_releasing = True
         for lease in self.leases.values():
             if lease.state is LeaseState.HELD:
-                await self._async_give_back(lease)
+                await self._async_release_lease(lease)
 
-    async def _async_give_back(self, lease: Lease) -> None:
+    async def _async_release_lease(self, lease: Lease) -> None:
         """Stop acting at once, then say so."""
         lease.lose(self._core.clock())
         counter = lease.row.counter + 1 if lease.row is not None else 1
@@ -203,6 +205,6 @@
         lease.lose(self._core.clock())
         self._core.events.info("lease_given_back", failure_domain=lease.failure_domain)
 
-    def _show(self) -> None:
+    def _notify_change(self) -> None:
         self.on_change()
         self._core.metrics.lease_held.set({}, len(self.held()))
--- a/chutelink/director/orders.py
+++ b/chutelink/director/orders.py
@@ -21,24 +21,24 @@
 from ..ids import BootId, EndpointName, FailureDomainName, FencingNumber
 from ..store import Check, TableService, Write, async_commit
 from ..systems.ledger import (
-    allot_fence,
+    allocate_fence,
+    apply_answer,
+    apply_report,
     check_memory,
     claim_load,
     claim_unload,
     expire_pending,
-    note_answer,
-    note_refused,
-    note_report,
-    retire_unloaded,
+    release_unloaded,
+    remove_refused_load,
 )
 from ..systems.reconcile import Action, ActionKind, order_action
 from ..tables.endpoints import ArtifactState, EndpointReport
 from ..tables.ledger import Claim, ClaimState, LedgerRow, OrderAction
 from ..tables.state import StateTable, VersionedRow
-from .leases import LeaseKeeper
+from .leases import LeaseManager
 
 
-class OrderDesk:
+class OrderExecutor:
     """Writes ledger rows under the lease and sends the orders they allot.
 
     Parameters
@@ -62,7 +62,7 @@
         core: Application,
         table: TableService,
         client: EndpointClient,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         state: StateTable,
         order_timeout_s: float,
     ) -> None:
@@ -79,41 +79,41 @@
         row = LedgerRow(spec.name, spec.accelerators, spec.memory_mb)
         await self._async_write(spec.failure_domain, row, 0)
 
-    async def async_resize(self, spec: EndpointSpec, kept: VersionedRow) -> None:
+    async def async_resize(self, spec: EndpointSpec, stored: VersionedRow) -> None:
         """Take the size that the file declares, if the claims still fit."""
         row = msgspec.structs.replace(
-            kept.row, accelerators=spec.accelerators, memory_mb=spec.memory_mb
+            stored.row, accelerators=spec.accelerators, memory_mb=spec.memory_mb
         )
-        await self._async_write(spec.failure_domain, row, kept.version)
+        await self._async_write(spec.failure_domain, row, stored.version)
 
-    async def async_note_report(
+    async def async_apply_report(
         self, spec: EndpointSpec, report: EndpointReport
     ) -> None:
         """Bring the row in line with a report; write it only if it changed."""
-        kept = self._state.ledger[spec.name]
-        if report.boot_id != kept.row.boot_id:
+        stored = self._state.ledger[spec.name]
+        if report.boot_id != stored.row.boot_id:
             return
         loaded = [
             held.artifact
             for held in report.artifacts
             if held.state is ArtifactState.LOADED
         ]
-        row = note_report(kept.row, loaded)
-        if _has_loaded_more(kept.row, row):
+        row = apply_report(stored.row, loaded)
+        if _has_newly_loaded(stored.row, row):
             self.on_loaded(spec.name)
-        row = retire_unloaded(row, [held.artifact for held in report.artifacts])
-        if row != kept.row:
-            await self._async_write(spec.failure_domain, row, kept.version)
+        row = release_unloaded(row, [held.artifact for held in report.artifacts])
+        if row != stored.row:
+            await self._async_write(spec.failure_domain, row, stored.version)
 
     async def async_expire(
         self, spec: EndpointSpec, fences: list[FencingNumber]
     ) -> None:
         """Give up on orders that are past the bound on lateness."""
-        kept = self._state.ledger[spec.name]
-        row = expire_pending(kept.row, fences)
-        await self._async_write(spec.failure_domain, row, kept.version)
+        stored = self._state.ledger[spec.name]
+        row = expire_pending(stored.row, fences)
+        await self._async_write(spec.failure_domain, row, stored.version)
 
-    async def async_run(
+    async def async_execute(
         self, spec: EndpointSpec, action: Action, boot_id: BootId
     ) -> None:
         """Claim, send and note the answer of one step.
@@ -124,26 +124,26 @@
             Nothing was sent, or the order may still take effect; the claim of
             an order that may was written before.
         """
-        kept = self._state.ledger[spec.name]
-        row, order = _claim(kept.row, action)
-        guard = self._guard_check(action)
-        await self._async_write(spec.failure_domain, row, kept.version, guard)
+        stored = self._state.ledger[spec.name]
+        row, order = _claim_action(stored.row, action)
+        guard = self._guard_checks(action)
+        await self._async_write(spec.failure_domain, row, stored.version, guard)
         with self._core.tracer.start_as_current_span(
             "director.order",
             attributes={"endpoint": spec.name, "action": order.action.value},
         ):
             answer = await self._async_send(spec, order)
         if answer is None:
-            self._count(order.action, "unanswered")
+            self._count_order(order.action, "unanswered")
             return
-        self._count(order.action, answer.result.value)
-        await self._async_note_answer(spec, action, order, answer, boot_id)
+        self._count_order(order.action, answer.result.value)
+        await self._async_apply_answer(spec, action, order, answer, boot_id)
 
-    def _guard_check(self, action: Action) -> list[Check]:
+    def _guard_checks(self, action: Action) -> list[Check]:
         if action.guard is None:
             return []
-        kept = self._state.ledger[action.guard]
-        return [Check(PREFIX_LEDGER + action.guard, kept.version)]
+        stored = self._state.ledger[action.guard]
+        return [Check(PREFIX_LEDGER + action.guard, stored.version)]
 
     async def _async_send(self, spec: EndpointSpec, order: Order) -> OrderAnswer | None:
         """Send an order; None means that it may still take effect."""
@@ -167,7 +167,7 @@
         )
         return answer
 
-    async def _async_note_answer(
+    async def _async_apply_answer(
         self,
         spec: EndpointSpec,
         action: Action,
@@ -175,19 +175,19 @@
         answer: OrderAnswer,
         boot_id: BootId,
     ) -> None:
-        kept = self._state.ledger[spec.name]
-        row = kept.row
+        stored = self._state.ledger[spec.name]
+        row = stored.row
         if answer.result is OrderResult.STALE:
             # Only a later order of another director can be the cause.
             self._leases.lose(spec.failure_domain)
             return
-        row = note_answer(row, order.fence, checks_fencing=spec.checks_fencing)
+        row = apply_answer(row, order.fence, checks_fencing=spec.checks_fencing)
         if answer.result is OrderResult.REFUSED and order.action is OrderAction.LOAD:
-            row = note_refused(row, action.artifact)
+            row = remove_refused_load(row, action.artifact)
         if action.kind is ActionKind.FENCE:
             row = msgspec.structs.replace(row, boot_id=boot_id)
-        if row != kept.row:
-            await self._async_write(spec.failure_domain, row, kept.version)
+        if row != stored.row:
+            await self._async_write(spec.failure_domain, row, stored.version)
 
     async def _async_write(
         self,
@@ -215,11 +215,11 @@
         )
         self._state.put_ledger(row.endpoint, row, written)
 
-    def _count(self, action: OrderAction, result: str) -> None:
+    def _count_order(self, action: OrderAction, result: str) -> None:
         self._core.metrics.moves.inc({"action": action.value, "result": result})
 
 
-def _has_loaded_more(before: LedgerRow, after: LedgerRow) -> bool:
+def _has_newly_loaded(before: LedgerRow, after: LedgerRow) -> bool:
     """Return whether an artifact is held now that was not before."""
     return any(
         claim.state is ClaimState.LOADED and not before.holds(claim.artifact)
@@ -227,14 +227,14 @@
     )
 
 
-def _claim(row: LedgerRow, action: Action) -> tuple[LedgerRow, Order]:
+def _claim_action(row: LedgerRow, action: Action) -> tuple[LedgerRow, Order]:
     """Return the row with the claim of a step, and the order that it allots."""
     artifact = action.artifact
     if action.kind is ActionKind.FENCE:
-        row = allot_fence(row)
+        row = allocate_fence(row)
         return row, Order(row.fence, OrderAction.FENCE)
     if action.kind is ActionKind.REMOVE_UNEXPLAINED:
-        row = allot_fence(row)
+        row = allocate_fence(row)
         order = Order(row.fence, OrderAction.UNLOAD, artifact.name, artifact.version)
         return row, order
     if action.kind is ActionKind.LOAD:
@@ -245,23 +245,25 @@
             action.accelerators,
             action.memory_mb,
         )
-        return _with_order(changed, action, OrderAction.LOAD)
+        return _build_order(changed, action, OrderAction.LOAD)
     if action.kind is ActionKind.UNLOAD:
-        return _with_order(claim_unload(row, artifact), action, OrderAction.UNLOAD)
-    return _repeat(row, row.claim_of(artifact), action)
+        return _build_order(claim_unload(row, artifact), action, OrderAction.UNLOAD)
+    return _claim_repeat(row, row.claim_of(artifact), action)
 
 
-def _repeat(row: LedgerRow, claim: Claim, action: Action) -> tuple[LedgerRow, Order]:
+def _claim_repeat(
+    row: LedgerRow, claim: Claim, action: Action
+) -> tuple[LedgerRow, Order]:
     wanted = order_action(claim)
     if wanted is OrderAction.UNLOAD:
-        return _with_order(claim_unload(row, claim.artifact), action, wanted)
+        return _build_order(claim_unload(row, claim.artifact), action, wanted)
     changed = claim_load(
         row, claim.artifact, claim.kind, claim.accelerators, claim.memory_mb
     )
-    return _with_order(changed, action, wanted)
+    return _build_order(changed, action, wanted)
 
 
-def _with_order(
+def _build_order(
     changed: Result[LedgerRow, str], action: Action, wanted: OrderAction
 ) -> tuple[LedgerRow, Order]:
     if isinstance(changed, Failure):
--- a/chutelink/director/placer.py
+++ b/chutelink/director/placer.py
@@ -22,15 +22,15 @@
 from ..ids import EndpointName, FailureDomainName
 from ..settings import DirectorSection
 from ..store import TableService
-from ..systems.allowance import LoadAllowance
+from ..systems.load_limiter import LoadLimiter
 from ..systems.placement import PlacementInput, Plan, make_placement
-from ..systems.reconcile import Action, Situation, next_action, unexplained
+from ..systems.reconcile import Action, ReconcileInput, find_unexplained, next_action
 from ..tables.endpoints import Endpoint, EndpointTable
 from ..tables.ledger import ClaimState, LedgerRow
 from ..tables.state import StateTable
 from .health import HealthPublisher
-from .leases import LeaseKeeper
-from .orders import OrderDesk
+from .leases import LeaseManager
+from .orders import OrderExecutor
 from .timer import OrderTimer
 
 READ_INTERVAL_S = 0.5
@@ -74,8 +74,8 @@
         table: TableService,
         endpoints: EndpointTable,
         monitor: EndpointMonitor,
-        leases: LeaseKeeper,
-        desk: OrderDesk,
+        leases: LeaseManager,
+        executor: OrderExecutor,
         state: StateTable,
         settings: DirectorSection,
         waiting: Callable[[FailureDomainName, float], dict[str, int]],
@@ -87,14 +87,14 @@
         self._endpoints = endpoints
         self._monitor = monitor
         self._leases = leases
-        self._desk = desk
-        self.shared = state
+        self._executor = executor
+        self.state_table = state
         self._settings = settings
-        self._allowance = LoadAllowance(settings.loads_per_s, settings.loads_at_once)
-        self._busy: dict[EndpointName, asyncio.Task] = {}
+        self._load_limiter = LoadLimiter(settings.loads_per_s, settings.loads_at_once)
+        self._step_tasks: dict[EndpointName, asyncio.Task] = {}
         self._timer = OrderTimer(core.clock, settings.order_lateness_s)
         self._health = HealthPublisher(core, table, endpoints, leases, state, waiting)
-        self._answered_s: dict[EndpointName, float] = {}
+        self._last_step_s: dict[EndpointName, float] = {}
         self._held_since: dict[FailureDomainName, float] = {}
         self._read_s = float("-inf")
         self.plan = Plan({}, [])
@@ -118,15 +118,15 @@
         # One configuration for the whole tick, though another may come in force
         # while a read is on its way.
         current = self._keeper.current
-        held = self._note_held()
+        held = self._settled_domains()
         if current is None or not held:
             return
         fleet = current.fleet
         await self._async_read()
         for domain in held:
             await self._health.async_publish(fleet, domain)
-        self._make_plan(current)
-        self._allowance.share(len(held), len(fleet.failure_domains))
+        self._update_plan(current)
+        self._load_limiter.set_share(len(held), len(fleet.failure_domains))
         steps = [
             step
             for spec in fleet.engines()
@@ -138,12 +138,12 @@
         loading = self._count_loading(fleet, held)
         for spec, action in steps:
             if action.is_load:
-                if not self._allowance.take(self._core.clock(), loading):
+                if not self._load_limiter.try_start(self._core.clock(), loading):
                     continue
                 loading += 1
-            self._start(spec, action)
+            self._start_action(spec, action)
 
-    def _note_held(self) -> list[FailureDomainName]:
+    def _settled_domains(self) -> list[FailureDomainName]:
         """Return the held domains, leaving out those taken a moment ago.
 
         The previous holder's last order may still be on its way; a short pause
@@ -159,33 +159,38 @@
 
     async def _async_read(self) -> None:
         now_s = self._core.clock()
-        if now_s - self._read_s < READ_INTERVAL_S and self.shared.is_read:
+        if now_s - self._read_s < READ_INTERVAL_S and self.state_table.is_read:
             return
-        page = await self._table.async_read(PREFIX_STATE, self.shared.version)
+        page = await self._table.async_read(PREFIX_STATE, self.state_table.version)
         for row in page.rows:
-            self.shared.take(row)
-        self.shared.version = max(self.shared.version, page.version)
-        self.shared.is_read = True
+            self.state_table.take(row)
+        self.state_table.version = max(self.state_table.version, page.version)
+        self.state_table.is_read = True
         self._read_s = now_s
 
-    def _make_plan(self, current: Configuration) -> None:
+    def _update_plan(self, current: Configuration) -> None:
         """Plan anew when something has changed that a plan depends on.
 
         Another file or another set of usable endpoints is planned for at once;
         what changes otherwise waits, so that planning keeps to its share of time.
         """
         fleet = current.fleet
-        basis = (current.version, self.shared.usable())
+        basis = (current.version, self.state_table.usable())
         now_s = self._core.clock()
-        is_due = self.shared.changes != self._planned_changes and now_s >= self._plan_s
+        is_due = (
+            self.state_table.changes != self._planned_changes and now_s >= self._plan_s
+        )
         if basis == self._plan_basis and not is_due:
             return
         self._plan_basis = basis
-        self._planned_changes = self.shared.changes
+        self._planned_changes = self.state_table.changes
         placement = make_placement(fleet.options)
         self.plan = placement.plan(
             PlacementInput(
-                fleet, self.shared.rows(), self.shared.usable(), self.shared.demand()
+                fleet,
+                self.state_table.rows(),
+                self.state_table.usable(),
+                self.state_table.demand(),
             )
         )
         elapsed_s = self._core.clock() - now_s
@@ -197,43 +202,43 @@
     ) -> tuple[EndpointSpec, Action] | None:
         row = self._endpoints.rows.get(spec.name)
         is_seen = row is not None and row.report is not None
-        if spec.name in self._busy or not is_seen or row.report_failures:
+        if spec.name in self._step_tasks or not is_seen or row.report_failures:
             return None
-        if row.report_asked_s <= self._answered_s.get(spec.name, float("-inf")):
+        if row.report_asked_s <= self._last_step_s.get(spec.name, float("-inf")):
             return None
-        kept = self.shared.ledger.get(spec.name)
-        if kept is None:
-            self._spawn(spec.name, self._desk.async_create_row(spec))
+        stored = self.state_table.ledger.get(spec.name)
+        if stored is None:
+            self._spawn(spec.name, self._executor.async_create_row(spec))
             return None
-        size = (kept.row.accelerators, kept.row.memory_mb)
-        if size != (spec.accelerators, spec.memory_mb) and not kept.row.claims:
-            self._spawn(spec.name, self._desk.async_resize(spec, kept))
+        size = (stored.row.accelerators, stored.row.memory_mb)
+        if size != (spec.accelerators, spec.memory_mb) and not stored.row.claims:
+            self._spawn(spec.name, self._executor.async_resize(spec, stored))
             return None
-        self._note_quarantine(spec.name, row, kept.row.boot_id)
-        expired = self._timer.expired(spec.name, kept.row)
+        self._update_quarantine(spec.name, row, stored.row.boot_id)
+        expired = self._timer.expired(spec.name, stored.row)
         if expired:
-            self._spawn(spec.name, self._desk.async_expire(spec, expired))
+            self._spawn(spec.name, self._executor.async_expire(spec, expired))
             return None
-        given = Situation(
-            row=kept.row,
+        inputs = ReconcileInput(
+            row=stored.row,
             report=row.report,
             fleet=fleet,
-            desired=frozenset(self._desired(fleet, spec.name)),
-            ledger=self.shared.rows(),
-            usable=self.shared.usable(),
-            due=self._timer.due(spec.name, kept.row, row.report),
+            desired=frozenset(self._desired_models(fleet, spec.name)),
+            ledger=self.state_table.rows(),
+            usable=self.state_table.usable(),
+            due=self._timer.due(spec.name, stored.row, row.report),
         )
-        if self._is_report_news(kept.row, row):
-            self._spawn(spec.name, self._desk.async_note_report(spec, row.report))
+        if self._changes_ledger(stored.row, row):
+            self._spawn(spec.name, self._executor.async_apply_report(spec, row.report))
             return None
-        action = next_action(given)
+        action = next_action(inputs)
         return None if action is None else (spec, action)
 
-    def _desired(self, fleet: FleetSpec, name: EndpointName) -> set[str]:
+    def _desired_models(self, fleet: FleetSpec, name: EndpointName) -> set[str]:
         """Return the planned models; an endpoint not in the plan keeps its own."""
         if name in self.plan.assignment:
             return self.plan.assignment[name]
-        row = self.shared.ledger[name].row
+        row = self.state_table.ledger[name].row
         return {
             claim.artifact.name
             for claim in row.claims
@@ -241,20 +246,22 @@
             and claim.state is not ClaimState.UNLOADING
         }
 
-    def _note_quarantine(self, name: EndpointName, row: Endpoint, boot_id: str) -> None:
-        kept = self.shared.ledger[name]
+    def _update_quarantine(
+        self, name: EndpointName, row: Endpoint, boot_id: str
+    ) -> None:
+        stored = self.state_table.ledger[name]
         is_same_boot = row.report.boot_id == boot_id
-        strays = unexplained(kept.row, row.report) if is_same_boot else []
-        if strays and name not in self.quarantined:
+        unexplained = find_unexplained(stored.row, row.report) if is_same_boot else []
+        if unexplained and name not in self.quarantined:
             self.quarantined.add(name)
             self._core.events.error(
-                "endpoint_quarantined", endpoint=name, artifact=strays[0]
+                "endpoint_quarantined", endpoint=name, artifact=unexplained[0]
             )
-        elif not strays:
+        elif not unexplained:
             self.quarantined.discard(name)
         self._core.metrics.quarantined.set({}, len(self.quarantined))
 
-    def _is_report_news(self, ledger_row: LedgerRow, row: Endpoint) -> bool:
+    def _changes_ledger(self, ledger_row: LedgerRow, row: Endpoint) -> bool:
         """Return whether a report would change the ledger's row."""
         if row.report.boot_id != ledger_row.boot_id:
             return False
@@ -274,44 +281,46 @@
         return sum(
             claim.state is ClaimState.LOADING
             for spec in fleet.engines()
-            if spec.failure_domain in held and spec.name in self.shared.ledger
-            for claim in self.shared.ledger[spec.name].row.claims
+            if spec.failure_domain in held and spec.name in self.state_table.ledger
+            for claim in self.state_table.ledger[spec.name].row.claims
         )
 
-    def _start(self, spec: EndpointSpec, action: Action) -> None:
+    def _start_action(self, spec: EndpointSpec, action: Action) -> None:
         boot_id = self._endpoints.rows[spec.name].report.boot_id
-        self._spawn(spec.name, self._async_step(spec, action, boot_id))
+        self._spawn(spec.name, self._async_run_action(spec, action, boot_id))
 
-    async def _async_step(self, spec: EndpointSpec, action: Action, boot_id) -> None:
+    async def _async_run_action(
+        self, spec: EndpointSpec, action: Action, boot_id
+    ) -> None:
         try:
-            await self._desk.async_run(spec, action, boot_id)
+            await self._executor.async_execute(spec, action, boot_id)
         finally:
-            self._answered_s[spec.name] = self._core.clock()
+            self._last_step_s[spec.name] = self._core.clock()
         await self._monitor.async_poll(spec.name)
 
     def _spawn(self, name: EndpointName, coroutine) -> None:
-        task = asyncio.ensure_future(self._async_guarded(name, coroutine))
-        self._busy[name] = task
+        task = asyncio.ensure_future(self._async_run_task(name, coroutine))
+        self._step_tasks[name] = task
 
-    async def _async_guarded(self, name: EndpointName, coroutine) -> None:
+    async def _async_run_task(self, name: EndpointName, coroutine) -> None:
         try:
             await coroutine
         except TransactionConflict:
-            self._reread()
+            self._request_reread()
         except LeaseNotHeld as error:
             self._core.events.warning("step_without_lease", error=error)
         except ChutelinkError as error:
             self._core.events.warning("step_failed", endpoint=name, error=error)
-            self._reread()
+            self._request_reread()
         finally:
-            self._busy.pop(name, None)
+            self._step_tasks.pop(name, None)
 
-    def _reread(self) -> None:
+    def _request_reread(self) -> None:
         """Read all rows anew before the next plan."""
-        self.shared.forget_version()
+        self.state_table.forget_version()
 
-    async def async_settle(self) -> None:
+    async def async_wait_for_tasks(self) -> None:
         """Wait for the steps that are being carried out."""
-        tasks = list(self._busy.values())
+        tasks = list(self._step_tasks.values())
         if tasks:
             await asyncio.wait(tasks, timeout=self._settings.order_timeout_s * 3)
--- a/chutelink/director/timer.py
+++ b/chutelink/director/timer.py
@@ -64,16 +64,16 @@
 
     def expired(self, name: EndpointName, row: LedgerRow) -> list[FencingNumber]:
         """Return orders that have been open for longer than the bound allows."""
-        bound_s = self._order_lateness_s
+        limit_s = self._order_lateness_s
         now_s = self._clock()
-        open_now = {
+        pending = {
             (name, order.fence) for claim in row.claims for order in claim.pending
         }
         known = {key for key in self._pending_since if key[0] == name}
-        for key in known - open_now:
+        for key in known - pending:
             del self._pending_since[key]
-        for key in open_now:
+        for key in pending:
             self._pending_since.setdefault(key, now_s)
-        if bound_s == 0:
+        if limit_s == 0:
             return []
-        return [f for n, f in open_now if now_s - self._pending_since[n, f] > bound_s]
+        return [f for n, f in pending if now_s - self._pending_since[n, f] > limit_s]
--- a/chutelink/systems/ledger.py
+++ b/chutelink/systems/ledger.py
@@ -62,17 +62,17 @@
     """
     fence = FencingNumber(row.fence + 1)
     order = PendingOrder(fence, OrderAction.LOAD)
-    known = row.claim_of(artifact)
-    if known is not None:
-        if known.state is ClaimState.UNLOADING:
+    existing = row.claim_of(artifact)
+    if existing is not None:
+        if existing.state is ClaimState.UNLOADING:
             return Failure(f"{artifact} is being unloaded")
         changed = replace(
-            known,
+            existing,
             state=ClaimState.LOADING,
             fence=fence,
-            pending=(*known.pending, order),
+            pending=(*existing.pending, order),
         )
-        return Success(check_memory(_put(replace(row, fence=fence), changed)))
+        return Success(check_memory(_replace_claim(replace(row, fence=fence), changed)))
     free_mb = row.free_mb()
     if any(free_mb[index] < memory_mb for index in accelerators):
         return Failure(f"no room for {artifact}")
@@ -84,26 +84,26 @@
 
 def claim_unload(row: LedgerRow, artifact: Artifact) -> Result[LedgerRow, str]:
     """Mark a claim as going and allot the order number; its memory stays claimed."""
-    known = row.claim_of(artifact)
-    if known is None:
+    existing = row.claim_of(artifact)
+    if existing is None:
         return Failure(f"no claim for {artifact}")
     fence = FencingNumber(row.fence + 1)
     order = PendingOrder(fence, OrderAction.UNLOAD)
     changed = replace(
-        known,
+        existing,
         state=ClaimState.UNLOADING,
         fence=fence,
-        pending=(*known.pending, order),
+        pending=(*existing.pending, order),
     )
-    return Success(_put(replace(row, fence=fence), changed))
+    return Success(_replace_claim(replace(row, fence=fence), changed))
 
 
-def allot_fence(row: LedgerRow) -> LedgerRow:
+def allocate_fence(row: LedgerRow) -> LedgerRow:
     """Allot an order number that touches no claim."""
     return replace(row, fence=FencingNumber(row.fence + 1))
 
 
-def note_answer(
+def apply_answer(
     row: LedgerRow, fence: FencingNumber, *, checks_fencing: bool
 ) -> LedgerRow:
     """Strike off the orders that an answer proves can't take effect any more.
@@ -118,20 +118,20 @@
             return order.fence > fence
         return order.fence != fence
 
-    return _keep_pending(row, is_open)
+    return _filter_pending(row, is_open)
 
 
-def note_refused(row: LedgerRow, artifact: Artifact) -> LedgerRow:
+def remove_refused_load(row: LedgerRow, artifact: Artifact) -> LedgerRow:
     """Drop a load that the endpoint refused, once none of its orders is open."""
     claim = row.claim_of(artifact)
     if claim is None or claim.has_pending_load:
         return row
     if claim.state is not ClaimState.LOADING:
         return row
-    return _drop(row, artifact)
+    return _remove_claim(row, artifact)
 
 
-def note_report(row: LedgerRow, loaded: Iterable[Artifact]) -> LedgerRow:
+def apply_report(row: LedgerRow, loaded: Iterable[Artifact]) -> LedgerRow:
     """Bring claims in line with what the endpoint reports as loaded.
 
     Parameters
@@ -152,13 +152,13 @@
     for claim in row.claims:
         is_present = claim.artifact in present
         if claim.state is ClaimState.LOADING and is_present:
-            row = _put(row, replace(claim, state=ClaimState.LOADED))
+            row = _replace_claim(row, replace(claim, state=ClaimState.LOADED))
         elif claim.state is ClaimState.LOADED and not is_present:
-            row = _put(row, replace(claim, state=ClaimState.LOADING))
+            row = _replace_claim(row, replace(claim, state=ClaimState.LOADING))
     return row
 
 
-def retire_unloaded(row: LedgerRow, held: Iterable[Artifact]) -> LedgerRow:
+def release_unloaded(row: LedgerRow, held: Iterable[Artifact]) -> LedgerRow:
     """Give back the memory of unloads that are proved done.
 
     Proof is that the engine holds nothing of it in any state and that no load
@@ -168,7 +168,7 @@
     for claim in row.claims:
         is_done = claim.artifact not in present and not claim.has_pending_load
         if claim.state is ClaimState.UNLOADING and is_done:
-            row = _drop(row, claim.artifact)
+            row = _remove_claim(row, claim.artifact)
     return row
 
 
@@ -184,7 +184,9 @@
     return replace(row, claims=tuple(claims))
 
 
-def _keep_pending(row: LedgerRow, is_open: Callable[[PendingOrder], bool]) -> LedgerRow:
+def _filter_pending(
+    row: LedgerRow, is_open: Callable[[PendingOrder], bool]
+) -> LedgerRow:
     claims = [
         replace(claim, pending=tuple(o for o in claim.pending if is_open(o)))
         for claim in row.claims
@@ -192,11 +194,11 @@
     return replace(row, claims=tuple(claims))
 
 
-def _put(row: LedgerRow, claim: Claim) -> LedgerRow:
+def _replace_claim(row: LedgerRow, claim: Claim) -> LedgerRow:
     claims = tuple(claim if c.artifact == claim.artifact else c for c in row.claims)
     return replace(row, claims=claims)
 
 
-def _drop(row: LedgerRow, artifact: Artifact) -> LedgerRow:
+def _remove_claim(row: LedgerRow, artifact: Artifact) -> LedgerRow:
     claims = tuple(c for c in row.claims if c.artifact != artifact)
     return replace(row, claims=claims)
--- a/chutelink/systems/packing.py
+++ b/chutelink/systems/packing.py
@@ -47,16 +47,16 @@
         """Return the memory of a model with its adapters, per accelerator."""
         return self._size_mb[model]
 
-    def take_claims(self, row: LedgerRow) -> None:
+    def reserve_claims(self, row: LedgerRow) -> None:
         """Take off what a ledger row claims, in whatever state."""
         free_mb = self.free_mb.get(row.endpoint)
         if free_mb is None:
             return
         for index, used_mb in enumerate(row.used_mb()):
             if index < len(free_mb):
-                self.take(row.endpoint, index, used_mb)
+                self.reserve(row.endpoint, index, used_mb)
 
-    def take(self, endpoint: str, index: int, memory_mb: int) -> None:
+    def reserve(self, endpoint: str, index: int, memory_mb: int) -> None:
         """Take memory of one accelerator."""
         self.free_mb[endpoint][index] -= memory_mb
         self._total_free_mb[endpoint] -= memory_mb
@@ -66,11 +66,11 @@
         size_mb = self._size_mb[model.name]
         if self._total_free_mb[endpoint] < size_mb * model.accelerators:
             return False
-        count = 0
+        fitting_accelerators = 0
         for free in self.free_mb[endpoint]:
             if free >= size_mb:
-                count += 1
-                if count >= model.accelerators:
+                fitting_accelerators += 1
+                if fitting_accelerators >= model.accelerators:
                     return True
         return False
 
@@ -80,7 +80,7 @@
         if chosen is None:
             return False
         for index in chosen:
-            self.take(endpoint, index, self._size_mb[model.name])
+            self.reserve(endpoint, index, self._size_mb[model.name])
         return True
 
     def total_free_mb(self, endpoint: str) -> int:
@@ -105,7 +105,7 @@
     return sizes_mb
 
 
-def by_size(fleet: FleetSpec) -> list[ModelSpec]:
+def models_by_size(fleet: FleetSpec) -> list[ModelSpec]:
     """Return models, the hardest to place first."""
     return sorted(
         fleet.models.values(),
@@ -149,7 +149,7 @@
     memory = MemoryMap(fleet, fleet.engines())
     assignment: Assignment = {name: set() for name in memory.endpoints}
     unplaced: list[str] = []
-    for model in by_size(fleet):
+    for model in models_by_size(fleet):
         holders: set[str] = set()
         for _ in range(model.replicas):
             name = best_endpoint(memory, model, holders)
--- a/chutelink/systems/placement.py
+++ b/chutelink/systems/placement.py
@@ -10,12 +10,12 @@
 from ..fleet.model import FleetOptions, FleetSpec, ModelSpec, PlacementPolicy
 from ..ids import EndpointName
 from ..tables.ledger import ClaimState, LedgerRow
-from .packing import Assignment, MemoryMap, best_endpoint, by_size
+from .packing import Assignment, MemoryMap, best_endpoint, models_by_size
 
 MOVE_COST_SEQUENCES = 8.0
 """Demand (running sequences) that one load must serve to be worth its cost."""
 HYSTERESIS_RATIO = 1.5
-FULL_RATIO = 0.7
+SCALE_UP_UTILIZATION = 0.7
 """Share of an endpoint's slots above which another replica helps."""
 
 
@@ -46,32 +46,32 @@
 class Placement(ABC):
     """Decides which models each endpoint should hold."""
 
-    def plan(self, given: PlacementInput) -> Plan:
+    def plan(self, inputs: PlacementInput) -> Plan:
         """Return the plan: everyone resident first, then spare memory."""
-        draft = _Draft(given)
-        draft.keep_current()
-        draft.place_minimum()
-        self.give_spare(draft)
-        return Plan(draft.assignment, draft.unplaced)
+        builder = _PlanBuilder(inputs)
+        builder.keep_current_models()
+        builder.place_minimum_replicas()
+        self.assign_spare(builder)
+        return Plan(builder.assignment, builder.unplaced)
 
     @abstractmethod
-    def give_spare(self, draft: _Draft) -> None:
+    def assign_spare(self, builder: _PlanBuilder) -> None:
         """Give the memory that is left to more replicas."""
 
 
 class StaticPlacement(Placement):
     """Baseline: the smallest number of replicas and nothing more."""
 
-    def give_spare(self, draft: _Draft) -> None:
+    def assign_spare(self, builder: _PlanBuilder) -> None:
         """Leave spare memory empty."""
 
 
 class GreedyPlacement(Placement):
     """Baseline: replicas follow demand at once; a move costs nothing."""
 
-    def give_spare(self, draft: _Draft) -> None:
+    def assign_spare(self, builder: _PlanBuilder) -> None:
         """Add replicas for demand, evicting whatever has less."""
-        draft.follow_demand(move_cost=0.0, hysteresis=1.0)
+        builder.add_replicas_for_demand(move_cost=0.0, hysteresis=1.0)
 
 
 class WeightedPlacement(Placement):
@@ -81,9 +81,11 @@
         weight = options.attainment_weight or 1e-9
         self._move_cost = MOVE_COST_SEQUENCES * options.moves_weight / weight
 
-    def give_spare(self, draft: _Draft) -> None:
+    def assign_spare(self, builder: _PlanBuilder) -> None:
         """Add replicas whose gain is above the weighted cost of the load."""
-        draft.follow_demand(move_cost=self._move_cost, hysteresis=HYSTERESIS_RATIO)
+        builder.add_replicas_for_demand(
+            move_cost=self._move_cost, hysteresis=HYSTERESIS_RATIO
+        )
 
 
 def make_placement(options: FleetOptions) -> Placement:
@@ -95,33 +97,33 @@
     return WeightedPlacement(options)
 
 
-class _Draft:
+class _PlanBuilder:
     """A plan in the making, with the memory that it leaves."""
 
-    def __init__(self, given: PlacementInput) -> None:
-        self.given = given
-        self.fleet = given.fleet
+    def __init__(self, inputs: PlacementInput) -> None:
+        self.inputs = inputs
+        self.fleet = inputs.fleet
         self.assignment: Assignment = {}
         self._holders: dict[str, set[str]] = {
-            name: set() for name in given.fleet.models
+            name: set() for name in inputs.fleet.models
         }
         self.unplaced: list[str] = []
-        engines = [e for e in given.fleet.engines() if e.name in given.usable]
-        self.memory = MemoryMap(given.fleet, engines)
-        self._slots = min((e.slots for e in given.fleet.engines()), default=1)
+        engines = [e for e in inputs.fleet.engines() if e.name in inputs.usable]
+        self.memory = MemoryMap(inputs.fleet, engines)
+        self._slots = min((e.slots for e in inputs.fleet.engines()), default=1)
 
     def holders(self, model: str) -> set[str]:
         """Return the endpoints that hold a model in this draft."""
         return set(self._holders[model])
 
-    def keep_current(self) -> None:
+    def keep_current_models(self) -> None:
         """Keep every claim of a declared model where it is."""
         for name in self.memory.endpoints:
             self.assignment[name] = set()
-            row = self.given.ledger.get(name)
+            row = self.inputs.ledger.get(name)
             if row is None:
                 continue
-            self.memory.take_claims(row)
+            self.memory.reserve_claims(row)
             for model in self._declared_models(row):
                 self.assignment[name].add(model)
                 self._holders[model].add(name)
@@ -144,27 +146,27 @@
             if claim is None or row.claim_of(adapter.artifact) is not None:
                 continue
             for index in claim.accelerators:
-                self.memory.take(endpoint, index, adapter.memory_mb)
+                self.memory.reserve(endpoint, index, adapter.memory_mb)
 
-    def place_minimum(self) -> None:
+    def place_minimum_replicas(self) -> None:
         """Give every model its smallest number of replicas.
 
         Models without any replica come first. Where memory is short, a spare
         replica of another model gives way.
         """
-        models = by_size(self.fleet)
+        models = models_by_size(self.fleet)
         models.sort(key=lambda model: bool(self.holders(model.name)))
         for model in models:
             while len(holders := self.holders(model.name)) < model.replicas:
                 name = best_endpoint(self.memory, model, holders)
-                if name is None and self._evict_spare_for(model, holders):
+                if name is None and self._evict_spare_replica(model, holders):
                     break
                 if name is None:
                     self.unplaced.append(model.name)
                     break
                 self._add(name, model)
 
-    def follow_demand(self, *, move_cost: float, hysteresis: float) -> None:
+    def add_replicas_for_demand(self, *, move_cost: float, hysteresis: float) -> None:
         """Add replicas in the order of gain until none is worth a load."""
         wanted = sorted(
             (m for m in self.fleet.models.values() if self._demand(m.name) > 0),
@@ -182,7 +184,7 @@
                 self._evict_for_gain(model, holders, gain, move_cost, hysteresis)
 
     def _demand(self, model: str) -> float:
-        return self.given.demand.get(model, 0.0)
+        return self.inputs.demand.get(model, 0.0)
 
     def _gain(self, model: ModelSpec, replicas: int) -> float:
         """Return the sequences that find no slot with so many replicas.
@@ -192,7 +194,7 @@
         """
         if replicas == 0:
             return float("inf")
-        served = FULL_RATIO * self._slots * replicas
+        served = SCALE_UP_UTILIZATION * self._slots * replicas
         return max(0.0, self._demand(model.name) - served)
 
     def _loss(self, model: str, replicas: int) -> float:
@@ -214,7 +216,7 @@
         """Return (loss, endpoint, model) of replicas above the minimum."""
         spare = []
         for endpoint, models in self.assignment.items():
-            row = self.given.ledger.get(endpoint)
+            row = self.inputs.ledger.get(endpoint)
             if row is None:
                 continue
             for name in models:
@@ -224,7 +226,7 @@
                     spare.append((self._loss(name, count), endpoint, name))
         return sorted(spare)
 
-    def _evict_spare_for(self, model: ModelSpec, holders: set[str]) -> bool:
+    def _evict_spare_replica(self, model: ModelSpec, holders: set[str]) -> bool:
         """Drop the cheapest spare replica that makes room; its memory comes later."""
         for _, endpoint, name in self._spare_replicas():
             if endpoint not in holders and self._would_fit(endpoint, name, model):
@@ -243,13 +245,13 @@
         for loss, endpoint, name in self._spare_replicas():
             if name == model.name or endpoint in holders:
                 continue
-            is_worth = gain > hysteresis * loss + 2 * move_cost
-            if is_worth and self._would_fit(endpoint, name, model):
+            is_worthwhile = gain > hysteresis * loss + 2 * move_cost
+            if is_worthwhile and self._would_fit(endpoint, name, model):
                 self._evict(endpoint, name)
                 return
 
     def _would_fit(self, endpoint: str, evicted: str, model: ModelSpec) -> bool:
-        row = self.given.ledger[endpoint]
+        row = self.inputs.ledger[endpoint]
         names = {evicted, *(a.name for a in self.fleet.adapters_of(evicted))}
         free_mb = list(self.memory.free_mb[endpoint])
         for claim in row.claims:
--- a/chutelink/systems/reconcile.py
+++ b/chutelink/systems/reconcile.py
@@ -48,7 +48,7 @@
         return self.kind is ActionKind.LOAD
 
 
-class Situation(msgspec.Struct, frozen=True):
+class ReconcileInput(msgspec.Struct, frozen=True):
     """All that the next step at an endpoint depends on.
 
     ``is_due`` says for an artifact whether its unanswered order may be
@@ -64,7 +64,7 @@
     due: frozenset[Artifact]
 
 
-def unexplained(row: LedgerRow, report: EndpointReport) -> list[Artifact]:
+def find_unexplained(row: LedgerRow, report: EndpointReport) -> list[Artifact]:
     """Return what an engine holds though no claim covers it."""
     found = []
     for held in report.artifacts:
@@ -79,23 +79,23 @@
     return found
 
 
-def next_action(given: Situation) -> Action | None:
+def next_action(inputs: ReconcileInput) -> Action | None:
     """Return the next step at an endpoint, or None when all is as planned."""
-    endpoint = given.row.endpoint
-    if given.report.boot_id != given.row.boot_id:
+    endpoint = inputs.row.endpoint
+    if inputs.report.boot_id != inputs.row.boot_id:
         return Action(ActionKind.FENCE, endpoint)
-    strays = unexplained(given.row, given.report)
-    if strays:
-        return Action(ActionKind.REMOVE_UNEXPLAINED, endpoint, strays[0])
-    return _repeat(given) or _unload(given) or _load(given)
+    unexplained = find_unexplained(inputs.row, inputs.report)
+    if unexplained:
+        return Action(ActionKind.REMOVE_UNEXPLAINED, endpoint, unexplained[0])
+    return _next_repeat(inputs) or _next_unload(inputs) or _next_load(inputs)
 
 
-def _repeat(given: Situation) -> Action | None:
-    for claim in given.row.claims:
+def _next_repeat(inputs: ReconcileInput) -> Action | None:
+    for claim in inputs.row.claims:
         is_open = claim.state is not ClaimState.LOADED
         is_bounded = len(claim.pending) < MAX_PENDING_ORDERS
-        if is_open and is_bounded and claim.artifact in given.due:
-            return _action_for(ActionKind.REPEAT, given.row, claim)
+        if is_open and is_bounded and claim.artifact in inputs.due:
+            return _action_for(ActionKind.REPEAT, inputs.row, claim)
     return None
 
 
@@ -110,112 +110,112 @@
     )
 
 
-def _unload(given: Situation) -> Action | None:
+def _next_unload(inputs: ReconcileInput) -> Action | None:
     """Return an unload of what is not wanted here, adapters before models."""
-    wanted = _wanted_artifacts(given)
+    wanted = _wanted_artifacts(inputs)
     adapters_first = sorted(
-        given.row.claims, key=lambda c: (c.kind is ArtifactKind.MODEL, c.artifact)
+        inputs.row.claims, key=lambda c: (c.kind is ArtifactKind.MODEL, c.artifact)
     )
     for claim in adapters_first:
         if claim.artifact in wanted or claim.state is ClaimState.UNLOADING:
             continue
         if claim.pending:
             continue
-        is_safe, guard = find_guard(given, claim.artifact)
+        is_safe, guard = find_guard(inputs, claim.artifact)
         if is_safe:
-            action = _action_for(ActionKind.UNLOAD, given.row, claim)
+            action = _action_for(ActionKind.UNLOAD, inputs.row, claim)
             return msgspec.structs.replace(action, guard=guard)
     return None
 
 
-def _wanted_artifacts(given: Situation) -> set[Artifact]:
+def _wanted_artifacts(inputs: ReconcileInput) -> set[Artifact]:
     wanted: set[Artifact] = set()
-    for name in given.desired:
-        wanted.add(given.fleet.models[name].artifact)
-        wanted |= {a.artifact for a in given.fleet.adapters_of(name)}
+    for name in inputs.desired:
+        wanted.add(inputs.fleet.models[name].artifact)
+        wanted |= {a.artifact for a in inputs.fleet.adapters_of(name)}
     return wanted
 
 
 def find_guard(
-    given: Situation, artifact: Artifact
+    inputs: ReconcileInput, artifact: Artifact
 ) -> tuple[bool, EndpointName | None]:
     """Return whether an artifact may go, and which endpoint makes it safe.
 
     An artifact of a name that is no longer declared may always go. Otherwise
     another usable endpoint must hold all that is now declared for its model.
     """
-    model = given.fleet.base_model(artifact.name)
+    model = inputs.fleet.base_model(artifact.name)
     if model is None:
         return True, None
     needed = [model.artifact]
-    needed += [a.artifact for a in given.fleet.adapters_of(model.name)]
-    replaced = artifact not in needed
-    for name, row in sorted(given.ledger.items()):
-        if name not in given.usable or not all(row.holds(a) for a in needed):
+    needed += [a.artifact for a in inputs.fleet.adapters_of(model.name)]
+    is_replaced = artifact not in needed
+    for name, row in sorted(inputs.ledger.items()):
+        if name not in inputs.usable or not all(row.holds(a) for a in needed):
             continue
         # A replaced version may give way to its successor on the same endpoint.
-        if name != given.row.endpoint:
+        if name != inputs.row.endpoint:
             return True, name
-        if replaced:
+        if is_replaced:
             return True, None
     return False, None
 
 
-def _load(given: Situation) -> Action | None:
-    for name in sorted(given.desired):
-        model = given.fleet.models[name]
-        action = _load_model(given, model) or _load_adapters(given, model)
+def _next_load(inputs: ReconcileInput) -> Action | None:
+    for name in sorted(inputs.desired):
+        model = inputs.fleet.models[name]
+        action = _next_model_load(inputs, model) or _next_adapter_load(inputs, model)
         if action is not None:
             return action
     return None
 
 
-def _load_model(given: Situation, model: ModelSpec) -> Action | None:
-    if given.row.claim_of(model.artifact) is not None:
+def _next_model_load(inputs: ReconcileInput, model: ModelSpec) -> Action | None:
+    if inputs.row.claim_of(model.artifact) is not None:
         return None
     size_mb = model.memory_mb
-    size_mb += sum(a.memory_mb for a in given.fleet.adapters_of(model.name))
-    chosen = choose_accelerators(given.row.free_mb(), model.accelerators, size_mb)
+    size_mb += sum(a.memory_mb for a in inputs.fleet.adapters_of(model.name))
+    chosen = choose_accelerators(inputs.row.free_mb(), model.accelerators, size_mb)
     if chosen is None:
         return None
     return Action(
         ActionKind.LOAD,
-        given.row.endpoint,
+        inputs.row.endpoint,
         model.artifact,
         ArtifactKind.MODEL,
         chosen,
         model.memory_mb,
-        is_first_replica=not _is_held_anywhere(given, model.artifact),
+        is_first_replica=not _is_loaded_anywhere(inputs, model.artifact),
     )
 
 
-def _load_adapters(given: Situation, model: ModelSpec) -> Action | None:
-    base = given.row.claim_of(model.artifact)
+def _next_adapter_load(inputs: ReconcileInput, model: ModelSpec) -> Action | None:
+    base = inputs.row.claim_of(model.artifact)
     if base is None or base.state is not ClaimState.LOADED:
         return None
-    free_mb = given.row.free_mb()
-    for adapter in given.fleet.adapters_of(model.name):
-        if given.row.claim_of(adapter.artifact) is not None:
+    free_mb = inputs.row.free_mb()
+    for adapter in inputs.fleet.adapters_of(model.name):
+        if inputs.row.claim_of(adapter.artifact) is not None:
             continue
         if any(free_mb[index] < adapter.memory_mb for index in base.accelerators):
             continue
         return Action(
             ActionKind.LOAD,
-            given.row.endpoint,
+            inputs.row.endpoint,
             adapter.artifact,
             ArtifactKind.ADAPTER,
             base.accelerators,
             adapter.memory_mb,
-            is_first_replica=not _is_held_anywhere(given, adapter.artifact),
+            is_first_replica=not _is_loaded_anywhere(inputs, adapter.artifact),
         )
     return None
 
 
-def _is_held_anywhere(given: Situation, artifact: Artifact) -> bool:
+def _is_loaded_anywhere(inputs: ReconcileInput, artifact: Artifact) -> bool:
     return any(
         row.holds(artifact)
-        for name, row in given.ledger.items()
-        if name in given.usable
+        for name, row in inputs.ledger.items()
+        if name in inputs.usable
     )
 
 
--- a/chutelink/systems/routing.py
+++ b/chutelink/systems/routing.py
@@ -9,7 +9,7 @@
 from ..tables.endpoints import Endpoint
 from ..tables.requests import WaitingRequest
 
-DISTANT_DOMAIN_S = 0.001
+REMOTE_DOMAIN_PENALTY_S = 0.001
 CHARACTERS_PER_TOKEN = 4
 
 
@@ -67,10 +67,10 @@
         load = row.estimated_load()
         waiting = max(0, load - row.spec.slots)
         prefill_s = self._prefill_s(row, request)
-        own_domain = row.spec.failure_domain == self._failure_domain
-        distance_s = 0.0 if own_domain else DISTANT_DOMAIN_S
-        crowding_s = row.report.step_s * load / max(1, row.spec.slots)
-        return distance_s + crowding_s + (1 + waiting) * prefill_s
+        is_local = row.spec.failure_domain == self._failure_domain
+        domain_penalty_s = 0.0 if is_local else REMOTE_DOMAIN_PENALTY_S
+        batching_s = row.report.step_s * load / max(1, row.spec.slots)
+        return domain_penalty_s + batching_s + (1 + waiting) * prefill_s
 
     def _prefill_s(self, row: Endpoint, request: WaitingRequest) -> float:
         cached = 0
@@ -85,13 +85,13 @@
     """Baseline: one after another."""
 
     def __init__(self) -> None:
-        self._turn = 0
+        self._next_index = 0
 
     def _pick(
         self, rows: list[Endpoint], request: WaitingRequest, now_s: float
     ) -> Endpoint:
-        self._turn += 1
-        return rows[self._turn % len(rows)]
+        self._next_index += 1
+        return rows[self._next_index % len(rows)]
 
 
 class LeastOutstandingRouting(Routing):
@@ -112,8 +112,8 @@
     def _pick(
         self, rows: list[Endpoint], request: WaitingRequest, now_s: float
     ) -> Endpoint:
-        pair = self._rng.sample(rows, min(2, len(rows)))
-        return min(pair, key=lambda row: (row.estimated_load(), row.name))
+        candidates = self._rng.sample(rows, min(2, len(rows)))
+        return min(candidates, key=lambda row: (row.estimated_load(), row.name))
 
 
 def make_routing(
--- a/tests/director/test_leases.py
+++ b/tests/director/test_leases.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from chutelink.director.leases import LeaseKeeper
+from chutelink.director.leases import LeaseManager
 from chutelink.settings import DirectorSection
 from chutelink.store import transactions
 
@@ -16,47 +16,47 @@
 LEASE_S = 3.0
 
 
-def make_keeper(table, name, domain="a"):
+def make_manager(table, name, domain="a"):
     core = make_core(name, domain)
-    keeper = LeaseKeeper(core, table, DirectorSection(lease_s=LEASE_S))
-    keeper.sync(["a"])
-    return keeper
+    manager = LeaseManager(core, table, DirectorSection(lease_s=LEASE_S))
+    manager.sync(["a"])
+    return manager
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_at_most_one_director_may_act(seed, monkeypatch):
+def test_at_most_one_director_holds_the_lease(seed, monkeypatch):
     monkeypatch.setattr(transactions, "SETTLE_PAUSE_S", 0.0)
     rng = random.Random(seed)
     table = FakeTable()
-    keepers = [make_keeper(table, f"d{n}", "ab"[n % 2]) for n in range(4)]
+    managers = [make_manager(table, f"d{n}", "ab"[n % 2]) for n in range(4)]
     # Clocks differ between VMs and are never compared.
-    offsets_s = [rng.uniform(0, 1e6) for _ in keepers]
+    offsets_s = [rng.uniform(0, 1e6) for _ in managers]
     now_s, held_steps = 0.0, 0
     for _ in range(400):
         now_s += rng.uniform(0.05, 0.8)
-        for keeper, offset_s in zip(keepers, offsets_s, strict=True):
-            keeper._core.now_s = now_s + offset_s
+        for manager, offset_s in zip(managers, offsets_s, strict=True):
+            manager._core.now_s = now_s + offset_s
         fault = rng.randrange(8)
         table.is_out = fault == 0
         table.lose_replies = int(fault == 1)
         table.late_writes = int(fault == 2)
         if fault == 3:
             table.deliver_late()
-        keeper = rng.choice(keepers)
+        manager = rng.choice(managers)
         if rng.random() < 0.05:
-            asyncio.run(keeper.async_release())
-            keeper.is_releasing = False
+            asyncio.run(manager.async_release())
+            manager.is_releasing = False
         else:
-            asyncio.run(keeper._async_tick())
-        holders = [k._core.daemon_id for k in keepers if k.held()]
+            asyncio.run(manager._async_tick())
+        holders = [k._core.daemon_id for k in managers if k.held()]
         assert len(holders) <= 1, holders
         held_steps += len(holders)
     assert held_steps > 50
 
 
-def test_the_own_director_goes_first_and_gets_the_lease_back():
+def test_local_director_takes_precedence_and_regains_the_lease():
     table = FakeTable()
-    foreign, own = make_keeper(table, "d1", "b"), make_keeper(table, "d2", "a")
+    foreign, own = make_manager(table, "d1", "b"), make_manager(table, "d2", "a")
     asyncio.run(foreign._async_tick())
     assert foreign.held() == []
     foreign._core.now_s += LEASE_S + 1
--- a/tests/director/test_ledger_machine.py
+++ b/tests/director/test_ledger_machine.py
@@ -24,7 +24,7 @@
 )
 
 from chutelink.const import PREFIX_LEASE_TERM, PREFIX_LEDGER, PREFIX_STATE
-from chutelink.director.orders import OrderDesk
+from chutelink.director.orders import OrderExecutor
 from chutelink.exceptions import (
     ChutelinkError,
     EndpointFailed,
@@ -34,7 +34,7 @@
 from chutelink.fleet import ArtifactKind, parse_fleet
 from chutelink.ids import WriteId
 from chutelink.store import Transaction, Write, transactions
-from chutelink.systems.reconcile import Situation, next_action
+from chutelink.systems.reconcile import ReconcileInput, next_action
 from chutelink.tables.endpoints import ArtifactState
 from chutelink.tables.ledger import Claim, ClaimState, LedgerRow
 from chutelink.tables.state import StateTable
@@ -93,7 +93,7 @@
         if fault is Fault.LOSE_ORDER:
             raise EndpointFailed("lost", step="endpoint.order")
         if fault is Fault.LATE:
-            machine.late.append(order)
+            machine.delayed.append(order)
             raise EndpointFailed("no answer", step="endpoint.order")
         answer = machine.engine.take_order(order)
         machine.delivered.append(order)
@@ -108,16 +108,16 @@
     def __init__(self, machine, number: int) -> None:
         self._machine = machine
         self.number = number
-        self.believes = False
+        self.assumes_held = False
         self.term_version = 0
 
     def check_held(self, name, step):
-        if not self.believes:
+        if not self.assumes_held:
             raise LeaseNotHeld("not held", step=step)
         return self.term_version
 
     def lose(self, name):
-        self.believes = False
+        self.assumes_held = False
 
 
 class LedgerMachine(RuleBasedStateMachine):
@@ -131,7 +131,7 @@
         self.spec = self.fleet.endpoints["e"]
         self.table = FakeTable()
         self.fault = Fault.NONE
-        self.late = []
+        self.delayed = []
         self.delivered = []
         self.directors = []
         self.desired = frozenset()
@@ -146,7 +146,7 @@
             ACCELERATORS, MEMORY_MB, 4, 0.0, 1000.0, self.checks_fencing, 0.0
         )
         self.engine = Engine(options, async_fetch)
-        self.late.clear()
+        self.delayed.clear()
         self.delivered.clear()
 
     @initialize()
@@ -156,8 +156,8 @@
             leases = FakeLeases(self, number)
             core = make_core(f"d{number}")
             client = FakeClient(self)
-            desk = OrderDesk(core, self.table, client, leases, state, 1.0)
-            self.directors.append((leases, state, desk))
+            executor = OrderExecutor(core, self.table, client, leases, state, 1.0)
+            self.directors.append((leases, state, executor))
         self.take_over(0)
 
     def teardown(self):
@@ -170,7 +170,7 @@
         transaction = Transaction(WriteId("t"), (), (Write(key, {"n": number}),))
         leases = self.directors[number][0]
         leases.term_version = self.table.table.commit(transaction)
-        leases.believes = True
+        leases.assumes_held = True
         self.holder = number
 
     def plan(self, desired):
@@ -181,7 +181,7 @@
         fault=st.sampled_from([*Fault, Fault.LATE, Fault.LATE]),
         clean_steps=st.integers(0, 2),
     )
-    def change_plan_with_a_fault(self, name, fault, clean_steps):
+    def change_plan_with_fault(self, name, fault, clean_steps):
         """Want one model only; some order on the way meets a fault."""
         number = self.holder
         self.steps_without_faults(number)
@@ -203,7 +203,7 @@
             self.loop.run_until_complete(self.async_step(number))
 
     async def async_step(self, number):
-        leases, state, desk = self.directors[number]
+        leases, state, executor = self.directors[number]
         if self.fault is Fault.LOSE_WRITE_REPLY:
             self.table.lose_replies = 1
         try:
@@ -211,13 +211,13 @@
             for row in page.rows:
                 state.take(row)
             if "e" not in state.ledger:
-                await desk.async_create_row(self.spec)
+                await executor.async_create_row(self.spec)
                 return
             await asyncio.sleep(0)
             report = self.engine.report()
-            await desk.async_note_report(self.spec, report)
+            await executor.async_apply_report(self.spec, report)
             row = state.ledger["e"].row
-            given = Situation(
+            inputs = ReconcileInput(
                 row=row,
                 report=report,
                 fleet=self.fleet,
@@ -226,7 +226,7 @@
                 usable=frozenset({"e", "spare"}),
                 due=frozenset(c.artifact for c in row.claims),
             )
-            action = next_action(given)
+            action = next_action(inputs)
             if action is not None:
                 # The guard's row is not part of this machine's table.
                 action = type(action)(
@@ -236,7 +236,7 @@
                         if f != "guard"
                     }
                 )
-                await desk.async_run(self.spec, action, report.boot_id)
+                await executor.async_execute(self.spec, action, report.boot_id)
         except ChutelinkError:
             state.version = 0
         finally:
@@ -251,11 +251,11 @@
         )
         return LedgerRow("spare", 2, 1000, 1, claims)
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed)
     @rule()
-    def deliver_late(self):
-        while self.late:
-            self.take_at_engine(self.late.pop(0))
+    def deliver_delayed(self):
+        while self.delayed:
+            self.deliver_to_engine(self.delayed.pop(0))
 
     @rule(is_busy=st.booleans())
     def change_requests(self, is_busy):
@@ -269,9 +269,9 @@
     def deliver_again(self, data):
         """Double an order; an engine that ignores fencing can't be protected."""
         index = data.draw(st.integers(0, len(self.delivered) - 1))
-        self.take_at_engine(self.delivered[index])
+        self.deliver_to_engine(self.delivered[index])
 
-    def take_at_engine(self, order):
+    def deliver_to_engine(self, order):
         async def async_take():
             self.engine.take_order(order)
 
@@ -284,12 +284,12 @@
         self.start_engine()
 
     @invariant()
-    def engine_was_never_asked_too_much(self):
+    def engine_memory_is_not_overcommitted(self):
         assert self.overcommits + self.engine.account.overcommits == []
         assert max(self.engine.used_mb()) <= MEMORY_MB
 
     @invariant()
-    def ledger_keeps_to_the_memory(self):
+    def ledger_claims_fit_memory(self):
         for row in self.table.table.read(PREFIX_LEDGER, 0).rows:
             used = {}
             for claim in row.value["claims"]:
@@ -298,11 +298,11 @@
             assert all(total <= MEMORY_MB for total in used.values())
 
 
-class IgnoringLedgerMachine(LedgerMachine):
+class UnfencedLedgerMachine(LedgerMachine):
     checks_fencing = False
 
 
-@pytest.mark.parametrize("machine", [LedgerMachine, IgnoringLedgerMachine])
+@pytest.mark.parametrize("machine", [LedgerMachine, UnfencedLedgerMachine])
 def test_memory_is_never_overcommitted(machine, monkeypatch):
     monkeypatch.setattr(transactions, "SETTLE_PAUSE_S", 0.0)
     run_state_machine_as_test(
@@ -310,7 +310,7 @@
     )
 
 
-def test_the_plan_is_reached_once_faults_end():
+def test_plan_is_reached_after_faults_end():
     machine = LedgerMachine()
     machine.start_directors()
     machine.plan({"first", "small"})
--- a/tests/director/test_orders.py
+++ b/tests/director/test_orders.py
@@ -9,7 +9,7 @@
 import pytest
 
 from chutelink.const import PREFIX_LEASE_TERM, PREFIX_LEDGER, PREFIX_STATE
-from chutelink.director.orders import OrderDesk
+from chutelink.director.orders import OrderExecutor
 from chutelink.endpoints.messages import OrderAnswer, OrderResult
 from chutelink.exceptions import TransactionConflict
 from chutelink.fleet import Artifact, ArtifactKind, parse_fleet
@@ -56,7 +56,7 @@
     table.table.commit(Transaction(WriteId("w"), (), tuple(writes)))
 
 
-def make_desk(table, sent):
+def make_executor(table, sent):
     async def async_order(spec, order, timeout_s):
         sent.append((spec.name, order.action.value))
         return OrderAnswer(OrderResult.ACCEPTED)
@@ -66,49 +66,53 @@
         state.take(row)
     leases = SimpleNamespace(check_held=lambda name, step: table.table.version)
     client = SimpleNamespace(async_order=async_order)
-    return OrderDesk(make_core(), table, client, leases, state, 1.0)
+    return OrderExecutor(make_core(), table, client, leases, state, 1.0)
 
 
 def make_unload(name, guard):
     return Action(ActionKind.UNLOAD, name, MODEL, ArtifactKind.MODEL, (0,), 60, guard)
 
 
-def test_two_directors_do_not_unload_each_others_guard():
+def test_concurrent_unloads_of_the_last_two_replicas_conflict():
     table, sent = FakeTable(), []
     put_rows(table)
     term_version = table.table.version
     # Both have read the rows before either acts.
-    desks = [make_desk(table, sent) for _ in range(2)]
-    for desk in desks:
-        desk._leases = SimpleNamespace(check_held=lambda name, step: term_version)
+    executors = [make_executor(table, sent) for _ in range(2)]
+    for executor in executors:
+        executor._leases = SimpleNamespace(check_held=lambda name, step: term_version)
 
     async def async_scenario():
         boot_id = BootId("b")
         endpoints = FLEET.endpoints
-        await desks[0].async_run(endpoints["e1"], make_unload("e1", "e2"), boot_id)
+        await executors[0].async_execute(
+            endpoints["e1"], make_unload("e1", "e2"), boot_id
+        )
         with pytest.raises(TransactionConflict):
-            await desks[1].async_run(endpoints["e2"], make_unload("e2", "e1"), boot_id)
+            await executors[1].async_execute(
+                endpoints["e2"], make_unload("e2", "e1"), boot_id
+            )
 
     asyncio.run(async_scenario())
     assert sent == [("e1", "unload")]
 
 
-def test_what_an_endpoint_has_loaded_is_told_before_the_row_is_written():
+def test_loaded_model_is_announced_before_the_ledger_row_is_written():
     """The unload of what it replaces follows the row."""
     table = FakeTable()
     put_rows(table, ClaimState.LOADING)
     term_version = table.table.version
-    desk = make_desk(table, [])
-    desk._leases = SimpleNamespace(check_held=lambda name, step: term_version)
-    row = desk._state.ledger["e1"].row
-    told = []
+    executor = make_executor(table, [])
+    executor._leases = SimpleNamespace(check_held=lambda name, step: term_version)
+    row = executor._state.ledger["e1"].row
+    announced = []
 
-    def note_told(name):
-        told.append((name, desk._state.ledger["e1"].row.holds(MODEL)))
+    def record_announcement(name):
+        announced.append((name, executor._state.ledger["e1"].row.holds(MODEL)))
 
-    desk.on_loaded = note_told
+    executor.on_loaded = record_announcement
     held = HeldArtifact("m", "1", ArtifactState.LOADED, (0,), 60, FencingNumber(1))
     report = EndpointReport(row.boot_id, artifacts=(held,))
-    asyncio.run(desk.async_note_report(FLEET.endpoints["e1"], report))
-    assert told == [("e1", False)]
-    assert desk._state.ledger["e1"].row.holds(MODEL)
+    asyncio.run(executor.async_apply_report(FLEET.endpoints["e1"], report))
+    assert announced == [("e1", False)]
+    assert executor._state.ledger["e1"].row.holds(MODEL)
--- a/tests/director/test_placer.py
+++ b/tests/director/test_placer.py
@@ -47,11 +47,11 @@
 
 def make_keeper(version, text):
     keeper = SimpleNamespace(current=make_configuration(version, text))
-    put(keeper, version, text)
+    switch_configuration(keeper, version, text)
     return keeper
 
 
-def put(keeper, version, text):
+def switch_configuration(keeper, version, text):
     keeper.current = make_configuration(version, text)
     keeper.version = version
     keeper.fleet = keeper.current.fleet
@@ -81,16 +81,16 @@
         lambda domain, now_s: {},
     )
     placer._held_since["a"] = 0.0
-    placer._start = lambda spec, action: None
+    placer._start_action = lambda spec, action: None
     return core, placer
 
 
-def test_a_file_that_comes_in_force_within_a_tick_is_planned_for_in_the_next():
+def test_configuration_change_during_a_tick_is_planned_in_the_next_tick():
     keeper = make_keeper(2, WITH_P)
     table = SwitchingTable()
     core, placer = make_placer(keeper, table)
 
-    table.on_read = lambda: put(keeper, 3, BASE)
+    table.on_read = lambda: switch_configuration(keeper, 3, BASE)
     asyncio.run(placer._async_tick())
     core.now_s += 0.25
     asyncio.run(placer._async_tick())
