--- a/chutelink/systems/__init__.py
+++ b/chutelink/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions over tables: no I/O, and time is passed in."""
+"""Pure functions that decide from tables, without I/O or access to a clock."""
--- a/chutelink/systems/admission.py
+++ b/chutelink/systems/admission.py
@@ -1,4 +1,4 @@
-"""Admit or refuse at once, with an estimate of when to come back."""
+"""Rate estimates and budgets for admitting and retrying requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DrainRate:
-    """How fast a queue has been emptying: an average over recent seconds."""
+    """Moving average of the rate at which requests leave a queue."""
 
     def __init__(self, period_s: float = 5.0) -> None:
         self._period_s = period_s
@@ -17,12 +17,12 @@
         self._updated_s = 0.0
 
     def note(self, now_s: float) -> None:
-        """Count one request that left the queue for an endpoint."""
+        """Count one request that was dispatched from the queue to an endpoint."""
         self._decay(now_s)
         self._rate_per_s += 1.0 / self._period_s
 
     def rate_per_s(self, now_s: float) -> float:
-        """Return requests a second, decayed to now."""
+        """Return the rate in requests per second, decayed to the current time."""
         self._decay(now_s)
         return self._rate_per_s
 
@@ -33,7 +33,7 @@
 
 
 def retry_after_s(queue_length: int, drain_per_s: float) -> float:
-    """Return when a refused caller should come back, in seconds."""
+    """Return the delay in seconds after which a refused caller should retry."""
     if drain_per_s <= 0:
         return MIN_RETRY_AFTER_S * 2
     wait_s = queue_length / drain_per_s
@@ -41,9 +41,10 @@
 
 
 class RetryBudget(msgspec.Struct):
-    """Bounds retries to a share of the requests, so that they never amplify.
+    """Limits retries to a fraction of the requests, so that they never amplify load.
 
-    ``ratio`` is retries per request; ``reserve`` is what a quiet gateway has.
+    ``ratio`` is the number of retries earned per request. ``reserve`` is the
+    maximum number of saved retries, which an idle gateway can spend at once.
     """
 
     ratio: float
@@ -51,11 +52,11 @@
     tokens: float = 10.0
 
     def note_request(self) -> None:
-        """Earn a share of a retry."""
+        """Add the fraction of a retry that one request earns."""
         self.tokens = min(self.reserve, self.tokens + self.ratio)
 
     def take(self) -> bool:
-        """Spend one retry; return whether there was one."""
+        """Consume one retry and return whether the budget allowed it."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/chutelink/systems/hashing.py
+++ b/chutelink/systems/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a stable order of candidates for each key."""
+"""Rendezvous hashing, which ranks candidates in a stable order for each key."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 def rendezvous_score(key: str, candidate: str) -> int:
-    """Return the weight of a candidate for a key, as 64 bits."""
+    """Return the weight of a candidate for a key as a 64-bit integer."""
     digest = hashlib.blake2b(f"{key}\0{candidate}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def rendezvous_order(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return the candidates for a key, best first.
+    """Return the candidates for a key in descending order of their weight.
 
-    A candidate that joins or leaves moves only the keys that it serves.
+    Adding or removing a candidate reassigns only the keys of that candidate.
     """
     return sorted(candidates, key=lambda c: (-rendezvous_score(key, c), c))
--- a/chutelink/systems/ledger.py
+++ b/chutelink/systems/ledger.py
@@ -1,4 +1,7 @@
-"""Changes of a ledger row; each keeps the memory invariant or is refused."""
+"""State transitions of a ledger row.
+
+Every transition either preserves the memory invariant or is rejected.
+"""
 
 from __future__ import annotations
 
@@ -20,16 +23,17 @@
 
 
 def check_memory(row: LedgerRow) -> LedgerRow:
-    """Return the row if no accelerator is claimed above its memory.
+    """Return the row if the claims on each accelerator fit in its memory.
 
     Raises
     ------
     InvariantViolated
-        Naming the accelerator; the caller must not write the row.
+        The claims exceed an accelerator's memory. The caller must not write
+        the row.
     """
     for index, used_mb in enumerate(row.used_mb()):
         if used_mb > row.memory_mb:
-            message = f"accelerator {index}: {used_mb} MB of {row.memory_mb} claimed"
+            message = f"accelerator {index}: {used_mb} MB claimed of {row.memory_mb} MB"
             raise InvariantViolated(message, step="ledger.memory", peer=row.endpoint)
     return row
 
@@ -37,9 +41,9 @@
 def choose_accelerators(
     free_mb: list[int], count: int, memory_mb: int
 ) -> tuple[int, ...] | None:
-    """Return the fullest accelerators that still have room, or None.
+    """Return the accelerators with the least free memory that suffices, or None.
 
-    Best fit keeps large gaps whole for large models.
+    Best fit reduces fragmentation, so that large models still find space.
     """
     fitting = [i for i, free in enumerate(free_mb) if free >= memory_mb]
     if len(fitting) < count:
@@ -55,10 +59,10 @@
     accelerators: tuple[int, ...],
     memory_mb: int,
 ) -> Result[LedgerRow, str]:
-    """Claim memory for a load and allot its order number.
+    """Claim memory for a load and allocate its fencing number.
 
-    A claim that is already there keeps its accelerators: repeating its order
-    can then never take memory elsewhere.
+    An existing claim keeps its accelerators, so that repeating its order never
+    uses memory on other accelerators.
     """
     fence = FencingNumber(row.fence + 1)
     order = PendingOrder(fence, OrderAction.LOAD)
@@ -75,7 +79,7 @@
         return Success(check_memory(_replace_claim(replace(row, fence=fence), changed)))
     free_mb = row.free_mb()
     if any(free_mb[index] < memory_mb for index in accelerators):
-        return Failure(f"no room for {artifact}")
+        return Failure(f"not enough free memory for {artifact}")
     claim = Claim(
         artifact, kind, accelerators, memory_mb, ClaimState.LOADING, fence, (order,)
     )
@@ -83,7 +87,10 @@
 
 
 def claim_unload(row: LedgerRow, artifact: Artifact) -> Result[LedgerRow, str]:
-    """Mark a claim as going and allot the order number; its memory stays claimed."""
+    """Mark a claim as unloading and allocate the order's fencing number.
+
+    The memory stays claimed until the unload is confirmed.
+    """
     existing = row.claim_of(artifact)
     if existing is None:
         return Failure(f"no claim for {artifact}")
@@ -99,18 +106,18 @@
 
 
 def allocate_fence(row: LedgerRow) -> LedgerRow:
-    """Allot an order number that touches no claim."""
+    """Allocate a fencing number for an order that changes no claim."""
     return replace(row, fence=FencingNumber(row.fence + 1))
 
 
 def apply_answer(
     row: LedgerRow, fence: FencingNumber, *, checks_fencing: bool
 ) -> LedgerRow:
-    """Strike off the orders that an answer proves can't take effect any more.
+    """Remove the pending orders that can no longer take effect after an answer.
 
-    An endpoint that checks fencing numbers refuses every earlier order once it
-    has answered a later one. One that ignores them proves only the order that
-    it answered.
+    An endpoint that checks fencing numbers refuses all earlier orders once it
+    has answered a later one. If an endpoint ignores fencing numbers, an answer
+    settles only the order that it answers.
     """
 
     def is_open(order: PendingOrder) -> bool:
@@ -122,7 +129,7 @@
 
 
 def remove_refused_load(row: LedgerRow, artifact: Artifact) -> LedgerRow:
-    """Drop a load that the endpoint refused, once none of its orders is open."""
+    """Remove the claim of a refused load if it has no other pending load order."""
     claim = row.claim_of(artifact)
     if claim is None or claim.has_pending_load:
         return row
@@ -132,21 +139,22 @@
 
 
 def apply_report(row: LedgerRow, loaded: Iterable[Artifact]) -> LedgerRow:
-    """Bring claims in line with what the endpoint reports as loaded.
+    """Update the claims from the artifacts that the endpoint reports as loaded.
 
     Parameters
     ----------
     row : LedgerRow
-        The row as last written.
+        The last written row.
     loaded : iterable of Artifact
-        Everything that the engine holds ready, from a report asked for after
-        the last answer was noted.
+        All artifacts that the engine reports as loaded. The report must have
+        been requested after the last answer was applied.
 
     Returns
     -------
     LedgerRow
-        Unloads that are proved are retired; a claim that is gone from the
-        engine goes back to LOADING, so that it is ordered again.
+        The row in which loading claims that are present are LOADED. A loaded
+        claim that the engine no longer holds returns to LOADING, so that the
+        load is ordered again.
     """
     present = set(loaded)
     for claim in row.claims:
@@ -159,10 +167,11 @@
 
 
 def release_unloaded(row: LedgerRow, held: Iterable[Artifact]) -> LedgerRow:
-    """Give back the memory of unloads that are proved done.
+    """Release the memory of unloads that are confirmed.
 
-    Proof is that the engine holds nothing of it in any state and that no load
-    order for it is open. An open unload does no harm to memory.
+    An unload is confirmed when the engine does not hold the artifact in any
+    state and no load order for it is pending. A pending unload order can be
+    ignored, because it cannot increase memory use.
     """
     present = set(held)
     for claim in row.claims:
@@ -173,7 +182,7 @@
 
 
 def expire_pending(row: LedgerRow, fences: Iterable[FencingNumber]) -> LedgerRow:
-    """Strike off orders that are past the settable bound on lateness."""
+    """Remove pending orders that exceeded the configured ``order_lateness_s``."""
     expired = set(fences)
     claims = [
         replace(
--- a/chutelink/systems/load_limiter.py
+++ b/chutelink/systems/load_limiter.py
@@ -1,4 +1,4 @@
-"""The share that one process has of the weight store's loads."""
+"""Limits how fast a director starts loads from the weight store."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class LoadLimiter:
-    """Bounds loads a second and at once.
+    """Limits the rate of loads and the number of concurrent loads.
 
     Parameters
     ----------
     loads_per_s : float
-        Over all directors together.
+        Maximum load rate of all directors together.
     loads_at_once : int
-        Over all directors together.
+        Maximum number of concurrent loads of all directors together.
     """
 
     def __init__(self, loads_per_s: float, loads_at_once: int) -> None:
@@ -23,13 +23,13 @@
         self._max_loading = loads_at_once
 
     def set_share(self, held: int, total: int) -> None:
-        """Take the share of so many failure domains of all."""
+        """Set the limits in proportion to the number of failure domains held."""
         fraction = held / max(1, total)
         self._bucket.rate_per_s = max(self._loads_per_s * fraction, 1e-6)
         self._max_loading = max(1, int(self._loads_at_once * fraction))
 
     def try_start(self, now_s: float, loading: int) -> bool:
-        """Return whether one more load may start now."""
+        """Return whether another load may start now, and count it if so."""
         if loading >= self._max_loading:
             return False
         return self._bucket.take(now_s) == 0.0
--- a/chutelink/systems/packing.py
+++ b/chutelink/systems/packing.py
@@ -1,4 +1,4 @@
-"""Which endpoints hold which models: packing with everyone resident first."""
+"""Bin packing of models onto endpoints, with minimum replicas placed first."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class PackResult(msgspec.Struct):
-    """Models by endpoint, and the models that found no place."""
+    """Models assigned to each endpoint, and models that could not be placed."""
 
     assignment: Assignment
     unplaced: list[str]
 
 
 class MemoryMap:
-    """Free memory of accelerators while a plan is being made, in MB.
+    """Tracks the free memory of each accelerator, in MB, during planning.
 
     Parameters
     ----------
     fleet : FleetSpec
-        For the sizes of models and adapters.
+        Defines the sizes of models and adapters.
     endpoints : iterable of EndpointSpec
-        The endpoints that may take models.
+        Endpoints on which models may be placed.
     """
 
     def __init__(self, fleet: FleetSpec, endpoints: Iterable[EndpointSpec]) -> None:
@@ -44,11 +44,11 @@
         self._total_free_mb = {n: sum(free) for n, free in self.free_mb.items()}
 
     def replica_mb(self, model: str) -> int:
-        """Return the memory of a model with its adapters, per accelerator."""
+        """Return the memory per accelerator of a model and its adapters."""
         return self._size_mb[model]
 
     def reserve_claims(self, row: LedgerRow) -> None:
-        """Take off what a ledger row claims, in whatever state."""
+        """Reserve the memory of all claims in a ledger row, whatever their state."""
         free_mb = self.free_mb.get(row.endpoint)
         if free_mb is None:
             return
@@ -57,12 +57,12 @@
                 self.reserve(row.endpoint, index, used_mb)
 
     def reserve(self, endpoint: str, index: int, memory_mb: int) -> None:
-        """Take memory of one accelerator."""
+        """Reserve memory on one accelerator."""
         self.free_mb[endpoint][index] -= memory_mb
         self._total_free_mb[endpoint] -= memory_mb
 
     def fits(self, endpoint: str, model: ModelSpec) -> bool:
-        """Return whether a whole replica fits on an endpoint."""
+        """Return whether a replica with all its adapters fits on an endpoint."""
         size_mb = self._size_mb[model.name]
         if self._total_free_mb[endpoint] < size_mb * model.accelerators:
             return False
@@ -75,7 +75,7 @@
         return False
 
     def place(self, endpoint: str, model: ModelSpec) -> bool:
-        """Take the memory of a replica; return whether it fitted."""
+        """Reserve the memory of a replica and return whether it fits."""
         chosen = self._choose(endpoint, model)
         if chosen is None:
             return False
@@ -84,7 +84,7 @@
         return True
 
     def total_free_mb(self, endpoint: str) -> int:
-        """Return the free memory of an endpoint over its accelerators."""
+        """Return the total free memory of an endpoint's accelerators."""
         return self._total_free_mb[endpoint]
 
     def _choose(self, endpoint: str, model: ModelSpec) -> tuple[int, ...] | None:
@@ -106,7 +106,7 @@
 
 
 def models_by_size(fleet: FleetSpec) -> list[ModelSpec]:
-    """Return models, the hardest to place first."""
+    """Return the models by descending size, as large ones are harder to place."""
     return sorted(
         fleet.models.values(),
         key=lambda m: (-m.accelerators * m.memory_mb, m.name),
@@ -116,10 +116,11 @@
 def best_endpoint(
     memory: MemoryMap, model: ModelSpec, holders: Iterable[str]
 ) -> str | None:
-    """Return the endpoint for one more replica, or None.
+    """Return the best endpoint for another replica, or None.
 
-    A new failure domain goes before more free memory; ties are broken by
-    rendezvous hashing, so that every director makes the same choice.
+    Endpoints in failure domains without a replica are preferred, then those
+    with more free memory. Ties are broken by rendezvous hashing, so that all
+    directors make the same choice.
     """
     taken = set(holders)
     used_domains = {
@@ -145,7 +146,7 @@
 
 
 def pack_minimum(fleet: FleetSpec) -> PackResult:
-    """Place the smallest number of replicas of every model on empty endpoints."""
+    """Place the minimum number of replicas of each model on empty endpoints."""
     memory = MemoryMap(fleet, fleet.engines())
     assignment: Assignment = {name: set() for name in memory.endpoints}
     unplaced: list[str] = []
--- a/chutelink/systems/placement.py
+++ b/chutelink/systems/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which models each endpoint should hold, given what it holds now."""
+"""Plans which models each endpoint should hold, starting from current claims."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from .packing import Assignment, MemoryMap, best_endpoint, models_by_size
 
 MOVE_COST_SEQUENCES = 8.0
-"""Demand (running sequences) that one load must serve to be worth its cost."""
+"""Cost of one load, expressed as the running sequences that it must serve."""
 HYSTERESIS_RATIO = 1.5
 SCALE_UP_UTILIZATION = 0.7
-"""Share of an endpoint's slots above which another replica helps."""
+"""Fraction of an endpoint's slots in use above which another replica helps."""
 
 
 class PlacementInput(msgspec.Struct, frozen=True):
-    """All that a placement depends on.
+    """Inputs of a placement plan.
 
-    ``demand`` is the number of sequences running or waiting, by model.
-    ``usable`` are the endpoints that may take new models.
+    ``demand`` is the number of running and waiting sequences by model.
+    ``usable`` is the set of endpoints on which models may be loaded.
     """
 
     fleet: FleetSpec
@@ -33,7 +33,7 @@
 
 
 class Plan(msgspec.Struct):
-    """Models that each endpoint should hold, and what found no place."""
+    """Models that each endpoint should hold, and models that could not be placed."""
 
     assignment: Assignment
     unplaced: list[str]
@@ -44,10 +44,10 @@
 
 
 class Placement(ABC):
-    """Decides which models each endpoint should hold."""
+    """Policy that decides which models each endpoint should hold."""
 
     def plan(self, inputs: PlacementInput) -> Plan:
-        """Return the plan: everyone resident first, then spare memory."""
+        """Return a plan that places minimum replicas first, then uses spare memory."""
         builder = _PlanBuilder(inputs)
         builder.keep_current_models()
         builder.place_minimum_replicas()
@@ -56,40 +56,40 @@
 
     @abstractmethod
     def assign_spare(self, builder: _PlanBuilder) -> None:
-        """Give the memory that is left to more replicas."""
+        """Use the remaining memory for additional replicas."""
 
 
 class StaticPlacement(Placement):
-    """Baseline: the smallest number of replicas and nothing more."""
+    """Baseline that places only the minimum number of replicas."""
 
     def assign_spare(self, builder: _PlanBuilder) -> None:
-        """Leave spare memory empty."""
+        """Leave spare memory unused."""
 
 
 class GreedyPlacement(Placement):
-    """Baseline: replicas follow demand at once; a move costs nothing."""
+    """Baseline that scales replicas with demand and ignores the cost of moves."""
 
     def assign_spare(self, builder: _PlanBuilder) -> None:
-        """Add replicas for demand, evicting whatever has less."""
+        """Add replicas for demand and evict replicas with less demand."""
         builder.add_replicas_for_demand(move_cost=0.0, hysteresis=1.0)
 
 
 class WeightedPlacement(Placement):
-    """Replicas follow demand only where the gain outlives the cost of a move."""
+    """Scales replicas with demand when the gain exceeds the cost of a move."""
 
     def __init__(self, options: FleetOptions) -> None:
         weight = options.attainment_weight or 1e-9
         self._move_cost = MOVE_COST_SEQUENCES * options.moves_weight / weight
 
     def assign_spare(self, builder: _PlanBuilder) -> None:
-        """Add replicas whose gain is above the weighted cost of the load."""
+        """Add replicas whose gain exceeds the weighted cost of loading them."""
         builder.add_replicas_for_demand(
             move_cost=self._move_cost, hysteresis=HYSTERESIS_RATIO
         )
 
 
 def make_placement(options: FleetOptions) -> Placement:
-    """Return the placement that the fleet file names."""
+    """Return the placement policy selected in the fleet file."""
     if options.placement is PlacementPolicy.STATIC:
         return StaticPlacement()
     if options.placement is PlacementPolicy.GREEDY:
@@ -98,7 +98,7 @@
 
 
 class _PlanBuilder:
-    """A plan in the making, with the memory that it leaves."""
+    """Builds a plan and tracks the memory that it leaves free."""
 
     def __init__(self, inputs: PlacementInput) -> None:
         self.inputs = inputs
@@ -113,11 +113,11 @@
         self._slots = min((e.slots for e in inputs.fleet.engines()), default=1)
 
     def holders(self, model: str) -> set[str]:
-        """Return the endpoints that hold a model in this draft."""
+        """Return the endpoints to which a model is assigned so far."""
         return set(self._holders[model])
 
     def keep_current_models(self) -> None:
-        """Keep every claim of a declared model where it is."""
+        """Assign each declared model to the endpoints that already hold a claim."""
         for name in self.memory.endpoints:
             self.assignment[name] = set()
             row = self.inputs.ledger.get(name)
@@ -149,10 +149,10 @@
                 self.memory.reserve(endpoint, index, adapter.memory_mb)
 
     def place_minimum_replicas(self) -> None:
-        """Give every model its smallest number of replicas.
+        """Assign the minimum number of replicas of each model.
 
-        Models without any replica come first. Where memory is short, a spare
-        replica of another model gives way.
+        Models without a replica are placed first. If memory is insufficient, a
+        spare replica of another model is evicted.
         """
         models = models_by_size(self.fleet)
         models.sort(key=lambda model: bool(self.holders(model.name)))
@@ -167,7 +167,7 @@
                 self._add(name, model)
 
     def add_replicas_for_demand(self, *, move_cost: float, hysteresis: float) -> None:
-        """Add replicas in the order of gain until none is worth a load."""
+        """Add at most one replica per model, in descending order of gain."""
         wanted = sorted(
             (m for m in self.fleet.models.values() if self._demand(m.name) > 0),
             key=lambda m: (-self._gain(m, len(self.holders(m.name))), m.name),
@@ -187,10 +187,10 @@
         return self.inputs.demand.get(model, 0.0)
 
     def _gain(self, model: ModelSpec, replicas: int) -> float:
-        """Return the sequences that find no slot with so many replicas.
+        """Return the number of sequences without a slot at this replica count.
 
-        A backlog that lasts grows, so that a move that costs more than the
-        backlog of a moment is made later and not never.
+        A persistent backlog grows over time, so a move whose cost exceeds the
+        current backlog is delayed rather than ruled out.
         """
         if replicas == 0:
             return float("inf")
@@ -198,7 +198,7 @@
         return max(0.0, self._demand(model.name) - served)
 
     def _loss(self, model: str, replicas: int) -> float:
-        """Return the sequences that lose their place with one replica less."""
+        """Return the sequences without a slot if one replica is removed."""
         spec = self.fleet.models[model]
         return self._gain(spec, replicas - 1)
 
@@ -208,12 +208,12 @@
         self._holders[model.name].add(endpoint)
 
     def _evict(self, endpoint: str, name: str) -> None:
-        """Give a spare replica up; its memory comes once it is unloaded."""
+        """Unassign a spare replica; its memory is free only after the unload."""
         self.assignment[endpoint].discard(name)
         self._holders[name].discard(endpoint)
 
     def _spare_replicas(self) -> list[tuple[float, str, str]]:
-        """Return (loss, endpoint, model) of replicas above the minimum."""
+        """Return (loss, endpoint, model) for each loaded replica above the minimum."""
         spare = []
         for endpoint, models in self.assignment.items():
             row = self.inputs.ledger.get(endpoint)
@@ -227,7 +227,10 @@
         return sorted(spare)
 
     def _evict_spare_replica(self, model: ModelSpec, holders: set[str]) -> bool:
-        """Drop the cheapest spare replica that makes room; its memory comes later."""
+        """Evict the spare replica with the least loss that frees enough memory.
+
+        The memory becomes available only after the unload.
+        """
         for _, endpoint, name in self._spare_replicas():
             if endpoint not in holders and self._would_fit(endpoint, name, model):
                 self._evict(endpoint, name)
--- a/chutelink/systems/queueing.py
+++ b/chutelink/systems/queueing.py
@@ -1,4 +1,4 @@
-"""Which of the waiting requests goes next."""
+"""Queueing policies that select the next request to dispatch."""
 
 from __future__ import annotations
 
@@ -11,52 +11,53 @@
 
 
 class Queueing(ABC):
-    """Orders the requests that need the same artifacts."""
+    """Policy that orders requests waiting for the same artifacts."""
 
     @abstractmethod
     def rank(self, request: WaitingRequest, now_s: float) -> tuple[float, ...]:
-        """Return a key; the lowest goes first."""
+        """Return the sort key; the request with the lowest key goes first."""
 
     def select(self, waiting: list[WaitingRequest], now_s: float) -> WaitingRequest:
-        """Return the request to send next; there is at least one."""
+        """Return the request to dispatch next; ``waiting`` must not be empty."""
         return min(waiting, key=lambda request: self.rank(request, now_s))
 
 
 class FifoQueueing(Queueing):
-    """Baseline: first come, first served."""
+    """Baseline that serves requests in order of arrival."""
 
     def rank(self, request: WaitingRequest, now_s: float) -> tuple[float, ...]:
-        """Return the time of arrival."""
+        """Return the arrival time."""
         return (request.arrived_s,)
 
 
 class EarliestDeadlineQueueing(Queueing):
-    """Baseline: the earliest deadline first."""
+    """Baseline that serves the earliest deadline first."""
 
     def rank(self, request: WaitingRequest, now_s: float) -> tuple[float, ...]:
-        """Return the deadline."""
+        """Return the deadline, then the arrival time."""
         return (request.deadline_s, request.arrived_s)
 
 
 class PriorityQueueing(Queueing):
-    """Baseline: strict priority, then first come."""
+    """Baseline that uses strict priority, then order of arrival."""
 
     def rank(self, request: WaitingRequest, now_s: float) -> tuple[float, ...]:
-        """Return the class's priority, highest first."""
+        """Return the negated priority, then the arrival time."""
         return (-request.request_class.priority, request.arrived_s)
 
 
 class SlackQueueing(Queueing):
-    """By slack: a request gives way to more important ones while it has slack.
+    """Slack-based queueing: priority decides while requests have enough slack.
 
-    After Talby and Feitelson, *Supporting Priorities and Improving Utilization
-    of the IBM SP Scheduler Using Slack-Based Backfilling* (1999). Requests whose
-    slack is nearly spent go first, by slack; then by priority; requests that
-    have missed their target already go last, so that they make no others late.
+    Based on Talby and Feitelson, *Supporting Priorities and Improving
+    Utilization of the IBM SP Scheduler Using Slack-Based Backfilling* (1999).
+    Requests that have almost used up their slack go first, then the others.
+    Both groups are ordered by priority, then by slack. Requests that already
+    missed their target go last, so that they do not delay the others.
     """
 
     def rank(self, request: WaitingRequest, now_s: float) -> tuple[float, ...]:
-        """Return (tier, order within the tier, arrival)."""
+        """Return the tier, the negated priority, and the slack or arrival time."""
         slack_s = request.slack_s(now_s)
         if slack_s < 0:
             return (2, -request.request_class.priority, request.arrived_s)
@@ -66,7 +67,7 @@
 
 
 def make_queueing(policy: QueueingPolicy) -> Queueing:
-    """Return the queueing that the fleet file names."""
+    """Return the queueing policy selected in the fleet file."""
     return {
         QueueingPolicy.FIFO: FifoQueueing,
         QueueingPolicy.EARLIEST_DEADLINE: EarliestDeadlineQueueing,
--- a/chutelink/systems/reconcile.py
+++ b/chutelink/systems/reconcile.py
@@ -1,4 +1,4 @@
-"""What to order next at an endpoint, so that it comes to hold what is planned."""
+"""Selects the next action that brings an endpoint closer to its planned state."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ActionKind(Enum):
-    """What a director may do at an endpoint."""
+    """Actions that a director can perform at an endpoint."""
 
     FENCE = "fence"
     REPEAT = "repeat"
@@ -27,9 +27,9 @@
 
 
 class Action(msgspec.Struct, frozen=True):
-    """One step at one endpoint.
+    """One action at one endpoint.
 
-    ``guard`` is another endpoint that must still hold the artifact when an
+    ``guard`` is another endpoint that must still hold the artifact when the
     unload is claimed.
     """
 
@@ -44,15 +44,14 @@
 
     @property
     def is_load(self) -> bool:
-        """Whether it takes a share of the weight store's allowance."""
+        """Whether the action counts towards the load limits of the weight store."""
         return self.kind is ActionKind.LOAD
 
 
 class ReconcileInput(msgspec.Struct, frozen=True):
-    """All that the next step at an endpoint depends on.
+    """Inputs for selecting the next action at an endpoint.
 
-    ``is_due`` says for an artifact whether its unanswered order may be
-    repeated now.
+    ``due`` contains the artifacts whose unanswered order may be repeated now.
     """
 
     row: LedgerRow
@@ -65,7 +64,7 @@
 
 
 def find_unexplained(row: LedgerRow, report: EndpointReport) -> list[Artifact]:
-    """Return what an engine holds though no claim covers it."""
+    """Return the artifacts that an engine holds without a matching claim."""
     found = []
     for held in report.artifacts:
         claim = row.claim_of(held.artifact)
@@ -80,7 +79,7 @@
 
 
 def next_action(inputs: ReconcileInput) -> Action | None:
-    """Return the next step at an endpoint, or None when all is as planned."""
+    """Return the next action at an endpoint, or None if no action is possible."""
     endpoint = inputs.row.endpoint
     if inputs.report.boot_id != inputs.row.boot_id:
         return Action(ActionKind.FENCE, endpoint)
@@ -111,7 +110,7 @@
 
 
 def _next_unload(inputs: ReconcileInput) -> Action | None:
-    """Return an unload of what is not wanted here, adapters before models."""
+    """Return an unload of an unwanted artifact, with adapters before models."""
     wanted = _wanted_artifacts(inputs)
     adapters_first = sorted(
         inputs.row.claims, key=lambda c: (c.kind is ArtifactKind.MODEL, c.artifact)
@@ -139,10 +138,11 @@
 def find_guard(
     inputs: ReconcileInput, artifact: Artifact
 ) -> tuple[bool, EndpointName | None]:
-    """Return whether an artifact may go, and which endpoint makes it safe.
+    """Return whether an artifact may be unloaded, and the endpoint that guards it.
 
-    An artifact of a name that is no longer declared may always go. Otherwise
-    another usable endpoint must hold all that is now declared for its model.
+    An artifact whose name is no longer declared can always be unloaded.
+    Otherwise another usable endpoint must hold the model and all its adapters
+    in their declared versions.
     """
     model = inputs.fleet.base_model(artifact.name)
     if model is None:
@@ -153,7 +153,7 @@
     for name, row in sorted(inputs.ledger.items()):
         if name not in inputs.usable or not all(row.holds(a) for a in needed):
             continue
-        # A replaced version may give way to its successor on the same endpoint.
+        # An outdated version may be unloaded if this endpoint has its successor.
         if name != inputs.row.endpoint:
             return True, name
         if is_replaced:
@@ -220,7 +220,7 @@
 
 
 def order_action(claim: Claim) -> OrderAction:
-    """Return what a claim's open order asks for."""
+    """Return the order action that completes a claim's state transition."""
     if claim.state is ClaimState.UNLOADING:
         return OrderAction.UNLOAD
     return OrderAction.LOAD
--- a/chutelink/systems/routing.py
+++ b/chutelink/systems/routing.py
@@ -1,4 +1,4 @@
-"""Choose an endpoint for a request among those that can serve it now."""
+"""Routing policies that choose an endpoint for a request."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 def usable(
     rows: list[Endpoint], request: WaitingRequest, now_s: float
 ) -> list[Endpoint]:
-    """Return the endpoints that take new work and were not tried before.
+    """Return the endpoints that accept new requests and were not yet tried.
 
-    Those that failed a moment ago are left out, unless there is no other.
+    Endpoints that failed recently are excluded unless there are no others.
     """
     found = [
         row for row in rows if row.takes_new_work and row.name not in request.excluded
@@ -27,12 +27,12 @@
 
 
 class Routing(ABC):
-    """Chooses among endpoints that have a free slot."""
+    """Policy that chooses among endpoints with a free slot."""
 
     def choose(
         self, rows: list[Endpoint], request: WaitingRequest, now_s: float
     ) -> Endpoint | None:
-        """Return the endpoint to use, or None when all are full."""
+        """Return the endpoint to use, or None if none has a free slot."""
         free = [row for row in rows if row.free_slots() > 0]
         return self._pick(free, request, now_s) if free else None
 
@@ -40,16 +40,16 @@
     def _pick(
         self, rows: list[Endpoint], request: WaitingRequest, now_s: float
     ) -> Endpoint:
-        """Return one of the rows; there is at least one."""
+        """Return one of the rows; ``rows`` is not empty."""
 
 
 class ExpectedTimeRouting(Routing):
-    """Least expected time to the first token.
+    """Chooses the endpoint with the least expected time to first token.
 
     Parameters
     ----------
     failure_domain : str
-        The domain of this gateway; others cost a little time.
+        The gateway's failure domain; other domains get a small time penalty.
     """
 
     def __init__(self, failure_domain: str) -> None:
@@ -61,7 +61,7 @@
         return min(rows, key=lambda row: (self.expected_s(row, request), row.name))
 
     def expected_s(self, row: Endpoint, request: WaitingRequest) -> float:
-        """Return the expected seconds to the first token at an endpoint."""
+        """Return the expected time to first token at an endpoint, in seconds."""
         if row.report is None:
             return float("inf")
         load = row.estimated_load()
@@ -82,20 +82,20 @@
 
 
 class RoundRobinRouting(Routing):
-    """Baseline: one after another."""
+    """Baseline that uses the endpoints in turn."""
 
     def __init__(self) -> None:
-        self._next_index = 0
+        self._index = 0
 
     def _pick(
         self, rows: list[Endpoint], request: WaitingRequest, now_s: float
     ) -> Endpoint:
-        self._next_index += 1
-        return rows[self._next_index % len(rows)]
+        self._index += 1
+        return rows[self._index % len(rows)]
 
 
 class LeastOutstandingRouting(Routing):
-    """Baseline: the fewest own requests in flight."""
+    """Baseline that chooses the endpoint with the fewest requests of this gateway."""
 
     def _pick(
         self, rows: list[Endpoint], request: WaitingRequest, now_s: float
@@ -104,7 +104,7 @@
 
 
 class TwoChoicesRouting(Routing):
-    """Baseline: the less loaded of two chosen at random."""
+    """Baseline that chooses the less loaded of two random endpoints."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -119,7 +119,7 @@
 def make_routing(
     policy: RoutingPolicy, failure_domain: str, rng: random.Random
 ) -> Routing:
-    """Return the routing that the fleet file names."""
+    """Return the routing policy selected in the fleet file."""
     if policy is RoutingPolicy.ROUND_ROBIN:
         return RoundRobinRouting()
     if policy is RoutingPolicy.LEAST_OUTSTANDING:
