--- a/chutelink/director/__init__.py
+++ b/chutelink/director/__init__.py
@@ -1,1 +1,1 @@
-"""The director: places models, orders loads and keeps the memory ledger."""
+"""The director, which places models, orders loads and maintains the ledger."""
--- a/chutelink/director/app.py
+++ b/chutelink/director/app.py
@@ -1,4 +1,4 @@
-"""The director's application object: wiring only."""
+"""Application object that wires the components of a director."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DirectorApp(Daemon):
-    """Acts for the failure domains whose leases it holds."""
+    """Director daemon for the failure domains whose leases it holds."""
 
     role = Role.DIRECTOR
 
@@ -25,7 +25,7 @@
         self._watched_domains: frozenset[str] = frozenset()
 
     async def async_setup_role(self) -> None:
-        """Create leases, orders and placement."""
+        """Create the lease manager, the order executor and the placer."""
         settings = self.settings.director
         table = self.platform.table
         state = StateTable()
@@ -52,20 +52,23 @@
             await self.add_runtime_dependency(component)
 
     def is_watched(self, name: EndpointName) -> bool:
-        """Return whether the endpoint's failure domain is held here."""
+        """Return whether this director holds the endpoint's failure domain."""
         spec = self.endpoints.rows[name].spec
         return spec.failure_domain in self._watched_domains
 
     def on_fleet(self) -> None:
-        """Contend for the failure domains of the fleet in force."""
+        """Contend for the leases of all failure domains in the current fleet."""
         self.leases.sync(sorted(self.keeper.fleet.failure_domains))
 
     def _announce_loaded(self, name: EndpointName) -> None:
-        """Let gateways read an endpoint's report before another is unloaded."""
+        """Tell gateways that an endpoint has loaded an artifact.
+
+        They read the endpoint's report before another copy is unloaded.
+        """
         self.mesh.broadcast(encode_loaded(EndpointLoaded(name)), TOPIC_LOADED)
 
     def _has_director(self, failure_domain: FailureDomainName) -> bool:
-        """Return whether a failure domain has a live director of its own."""
+        """Return whether a director in the failure domain itself is alive."""
         return any(
             member.state is MemberState.ALIVE
             and member.failure_domain == failure_domain
@@ -73,7 +76,7 @@
         )
 
     def _update_watched(self) -> None:
-        """Poll just the endpoints of the failure domains that are held."""
+        """Restrict polling to the endpoints in the held failure domains."""
         held = frozenset(self.leases.held())
         if held == self._watched_domains:
             return
@@ -81,7 +84,7 @@
         self.monitor.sync(frozenset(self.keeper.drains.names))
 
     def fill_status(self, status: DaemonStatus) -> DaemonStatus:
-        """Add leases, quarantine and what found no place."""
+        """Add held leases, quarantined endpoints and unplaced models."""
         status_fields = {
             "leases": sorted(self.leases.held()),
             "quarantined": sorted(self.placer.quarantined),
@@ -92,7 +95,7 @@
         )
 
     async def async_drain(self) -> None:
-        """Finish the orders being sent, then give the leases back."""
+        """Wait for orders in progress, then release the leases."""
         self.mesh.announce_leaving()
         self.leases.is_releasing = True
         await self.placer.stop()
--- a/chutelink/director/health.py
+++ b/chutelink/director/health.py
@@ -1,4 +1,4 @@
-"""What a lease's holder tells the other directors of its failure domain."""
+"""Publishes endpoint health and demand of a failure domain to other directors."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class HealthPublisher:
-    """Publishes usable endpoints and demand, only when they change.
+    """Publishes usable endpoints and demand whenever they change.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the publisher.
     table : TableService
-        Where health rows are.
+        Table that stores the health rows.
     endpoints : EndpointTable
-        Reports of the endpoints watched.
-    leases : LeaseKeeper
-        Checked in each transaction.
-    shared : StateTable
-        The rows as last known; own writes are put there.
+        Reports of the watched endpoints.
+    leases : LeaseManager
+        Provides the lease term that each transaction checks.
+    state : StateTable
+        Last known rows, updated with this director's writes.
     waiting : callable
-        What waits in the gateways of a failure domain, by model.
+        Returns the requests waiting in a failure domain's gateways, by model.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._demand: dict[FailureDomainName, dict[str, float]] = {}
 
     async def async_publish(self, fleet: FleetSpec, domain: FailureDomainName) -> None:
-        """Tell the other directors, only when something has changed."""
+        """Write the health row of a failure domain if it has changed."""
         health = self._observe_health(fleet, domain)
         if health == self._state.health.get(domain):
             return
@@ -88,7 +88,7 @@
             if row.state is EndpointState.LIVE:
                 usable.append(spec.name)
             self._add_demand(fleet, row, observed)
-        # An engine's own queue is short: what is in excess waits in the gateways.
+        # Engine queues are short, so most excess requests wait in the gateways.
         for name, count in self._waiting(domain, self._core.clock()).items():
             observed[name] = observed.get(name, 0.0) + count
         averages = self._demand.setdefault(domain, {})
@@ -117,7 +117,11 @@
 
 
 def _round_demand(value: float, known: int) -> int:
-    """Round to steps, keeping the known value within a step of it."""
+    """Round demand to a multiple of ``DEMAND_STEP``, with hysteresis.
+
+    A nonzero known value is kept while demand differs from it by less than one
+    step and is at least 0.5.
+    """
     if known and abs(value - known) < DEMAND_STEP:
         return known if value >= 0.5 else 0
     return round(value / DEMAND_STEP) * DEMAND_STEP
--- a/chutelink/director/leases.py
+++ b/chutelink/director/leases.py
@@ -1,4 +1,7 @@
-"""Keep one lease for each failure domain, without comparing clocks."""
+"""Leases of failure domains.
+
+Each director measures time on its own clock only; clocks are never compared.
+"""
 
 from __future__ import annotations
 
@@ -23,20 +26,23 @@
 
 RENEWALS_PER_LEASE = 4
 FOREIGN_WAIT_FACTOR = 3.0
-"""A lease of another failure domain is left to its own directors for longer."""
+"""Multiplies the wait before taking an expired lease of another failure domain.
+
+The longer wait gives the directors of that failure domain precedence.
+"""
 
 
 class LeaseManager(Service):
-    """Contends for leases and renews those held.
+    """Acquires and renews leases.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the manager.
     table : TableService
-        Where leases are.
+        Table that stores the leases.
     settings : DirectorSection
-        Length and margin.
+        Provides the lease duration and its safety margin.
     """
 
     def __init__(
@@ -52,24 +58,24 @@
         self.has_director: Callable[[FailureDomainName], bool] = lambda name: False
 
     def sync(self, failure_domains: list[FailureDomainName]) -> None:
-        """Contend for the leases of these failure domains."""
+        """Set the failure domains whose leases this director contends for."""
         for name in failure_domains:
             self.leases.setdefault(name, Lease(name))
         for name in self.leases.keys() - set(failure_domains):
             del self.leases[name]
 
     def held(self) -> list[FailureDomainName]:
-        """Return the failure domains that this director acts for now."""
+        """Return the failure domains whose leases are currently held."""
         now_s = self._core.clock()
         return [n for n, lease in self.leases.items() if lease.is_held(now_s)]
 
     def check_held(self, name: FailureDomainName, step: str) -> int:
-        """Return the version of the term's row, or raise.
+        """Return the version of the lease's term row.
 
         Raises
         ------
         LeaseNotHeld
-            The lease is not held, or ends within the margin.
+            The lease is not held, or it expires within the margin.
         """
         lease = self.leases.get(name)
         if lease is None or not lease.is_held(self._core.clock()):
@@ -77,7 +83,7 @@
         return lease.term_version
 
     def lose(self, name: FailureDomainName) -> None:
-        """Stop acting for a failure domain at once."""
+        """Stop using the lease of a failure domain immediately."""
         lease = self.leases.get(name)
         if lease is not None and lease.state is LeaseState.HELD:
             self._lose(lease)
@@ -126,7 +132,7 @@
             await self._async_take(lease)
 
     def _takeover_wait_s(self, lease: Lease) -> float:
-        """Return how long the row must be unchanged before it may be taken."""
+        """Return how long the row must be unchanged before the lease may be taken."""
         if self._is_own_domain(lease):
             return 0.0 if lease.is_free else self._settings.lease_s
         factor = 1.0 if lease.is_free else FOREIGN_WAIT_FACTOR
@@ -143,7 +149,7 @@
         await self._async_write(lease, row.counter + 1)
 
     async def _async_take(self, lease: Lease) -> None:
-        """Take a lease: its row and its term change together."""
+        """Take a lease by writing its row and its term row in one transaction."""
         key = PREFIX_LEASE_TERM + lease.failure_domain
         found = (await self._table.async_read(key)).get(key)
         version = found.version if found is not None else 0
@@ -167,7 +173,11 @@
         *,
         is_released: bool = False,
     ) -> int:
-        """Write the lease's row; the lease counts from before the write."""
+        """Write the lease's row.
+
+        The lease duration starts before the write, so that the lease ends here
+        no later than other directors assume.
+        """
         started_s = self._core.clock()
         key = PREFIX_LEASE + lease.failure_domain
         row = LeaseRow(self._core.daemon_id, self._core.boot_id, counter, is_released)
@@ -188,14 +198,14 @@
         self._notify_change()
 
     async def async_release(self) -> None:
-        """Give all leases back, so that others need not wait for their end."""
+        """Release all leases, so that other directors need not wait for expiry."""
         self.is_releasing = True
         for lease in self.leases.values():
             if lease.state is LeaseState.HELD:
                 await self._async_release_lease(lease)
 
     async def _async_release_lease(self, lease: Lease) -> None:
-        """Stop acting at once, then say so."""
+        """Stop using a lease immediately, then mark it as released."""
         lease.lose(self._core.clock())
         counter = lease.row.counter + 1 if lease.row is not None else 1
         try:
--- a/chutelink/director/orders.py
+++ b/chutelink/director/orders.py
@@ -1,4 +1,4 @@
-"""Carry out one step at an endpoint: claim first, then send."""
+"""Executes actions at endpoints: writes the claim, then sends the order."""
 
 from __future__ import annotations
 
@@ -39,22 +39,22 @@
 
 
 class OrderExecutor:
-    """Writes ledger rows under the lease and sends the orders they allot.
+    """Writes ledger rows under a lease and sends the corresponding orders.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the executor.
     table : TableService
-        Where the ledger is.
+        Table that stores the ledger.
     client : EndpointClient
-        To send orders.
-    leases : LeaseKeeper
-        Checked in each transaction, and again right before each send.
+        Client that sends orders to endpoints.
+    leases : LeaseManager
+        Checked in each transaction and again immediately before each send.
     state : StateTable
-        The rows as last known; own writes are put there.
+        Last known rows, updated with this director's writes.
     order_timeout_s : float
-        How long an answer is waited for.
+        Timeout for an order's answer.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         self.on_loaded: Callable[[EndpointName], None] = lambda name: None
 
     async def async_create_row(self, spec: EndpointSpec) -> None:
-        """Write the first row of an endpoint."""
+        """Create the ledger row of an endpoint."""
         row = LedgerRow(spec.name, spec.accelerators, spec.memory_mb)
         await self._async_write(spec.failure_domain, row, 0)
 
     async def async_resize(self, spec: EndpointSpec, stored: VersionedRow) -> None:
-        """Take the size that the file declares, if the claims still fit."""
+        """Set the declared accelerators and memory, if the claims still fit."""
         row = msgspec.structs.replace(
             stored.row, accelerators=spec.accelerators, memory_mb=spec.memory_mb
         )
@@ -89,7 +89,7 @@
     async def async_apply_report(
         self, spec: EndpointSpec, report: EndpointReport
     ) -> None:
-        """Bring the row in line with a report; write it only if it changed."""
+        """Update the ledger row from a report and write it if it changed."""
         stored = self._state.ledger[spec.name]
         if report.boot_id != stored.row.boot_id:
             return
@@ -108,7 +108,7 @@
     async def async_expire(
         self, spec: EndpointSpec, fences: list[FencingNumber]
     ) -> None:
-        """Give up on orders that are past the bound on lateness."""
+        """Remove pending orders that exceeded ``order_lateness_s``."""
         stored = self._state.ledger[spec.name]
         row = expire_pending(stored.row, fences)
         await self._async_write(spec.failure_domain, row, stored.version)
@@ -116,13 +116,13 @@
     async def async_execute(
         self, spec: EndpointSpec, action: Action, boot_id: BootId
     ) -> None:
-        """Claim, send and note the answer of one step.
+        """Write the claim of an action, send its order and apply the answer.
 
         Raises
         ------
         ChutelinkError
-            Nothing was sent, or the order may still take effect; the claim of
-            an order that may was written before.
+            Either no order was sent, or the order may still take effect. In the
+            second case its claim has already been written.
         """
         stored = self._state.ledger[spec.name]
         row, order = _claim_action(stored.row, action)
@@ -146,12 +146,12 @@
         return [Check(PREFIX_LEDGER + action.guard, stored.version)]
 
     async def _async_send(self, spec: EndpointSpec, order: Order) -> OrderAnswer | None:
-        """Send an order; None means that it may still take effect."""
+        """Send an order and return its answer, or None if it stays pending."""
         self._leases.check_held(spec.failure_domain, "order.send")
         try:
             answer = await self._client.async_order(spec, order, self._order_timeout_s)
         except EndpointUnreachable as error:
-            # Proof that this very order will not arrive, though not of others.
+            # This order was not delivered, but earlier orders may still be.
             self._core.events.warning("order_not_sent", error=error)
             return None
         except EndpointFailed as error:
@@ -178,7 +178,8 @@
         stored = self._state.ledger[spec.name]
         row = stored.row
         if answer.result is OrderResult.STALE:
-            # Only a later order of another director can be the cause.
+            # The endpoint has seen a later order, which only another director can
+            # have sent.
             self._leases.lose(spec.failure_domain)
             return
         row = apply_answer(row, order.fence, checks_fencing=spec.checks_fencing)
@@ -196,7 +197,7 @@
         version: int,
         extra: list[Check] | None = None,
     ) -> None:
-        """Write a row under the lease; the invariant is asserted on each write."""
+        """Write a row under the lease after checking the memory invariant."""
         try:
             check_memory(row)
         except InvariantViolated:
@@ -220,7 +221,7 @@
 
 
 def _has_newly_loaded(before: LedgerRow, after: LedgerRow) -> bool:
-    """Return whether an artifact is held now that was not before."""
+    """Return whether an artifact has become loaded."""
     return any(
         claim.state is ClaimState.LOADED and not before.holds(claim.artifact)
         for claim in after.claims
@@ -228,7 +229,7 @@
 
 
 def _claim_action(row: LedgerRow, action: Action) -> tuple[LedgerRow, Order]:
-    """Return the row with the claim of a step, and the order that it allots."""
+    """Return the row with an action's claim, and the order to send."""
     artifact = action.artifact
     if action.kind is ActionKind.FENCE:
         row = allocate_fence(row)
--- a/chutelink/director/placer.py
+++ b/chutelink/director/placer.py
@@ -1,4 +1,4 @@
-"""Bring the endpoints of held failure domains in line with the plan."""
+"""Reconciles the endpoints in held failure domains with the placement plan."""
 
 from __future__ import annotations
 
@@ -37,34 +37,34 @@
 TAKEOVER_PAUSE_S = 1.0
 MIN_PLAN_INTERVAL_S = 0.5
 PLAN_SHARE = 0.02
-"""The most of a core's time that planning for demand may take."""
+"""Maximum fraction of a core's time spent on planning for demand."""
 
 
 class Placer(Service):
-    """Plans, and orders one step at a time at each endpoint.
+    """Plans placements and executes one action at a time at each endpoint.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the placer.
     keeper : ConfigKeeper
-        The fleet in force.
+        Provides the configuration in force.
     table : TableService
-        Where ledger and health rows are.
+        Table that stores ledger and health rows.
     endpoints : EndpointTable
-        Reports of the endpoints watched.
+        Reports of the watched endpoints.
     monitor : EndpointMonitor
-        Asked for a new report after each order.
-    leases : LeaseKeeper
-        Says which failure domains are this director's.
-    desk : OrderDesk
-        Carries out the steps.
+        Polls an endpoint for a new report after each order.
+    leases : LeaseManager
+        Provides the failure domains that this director holds.
+    executor : OrderExecutor
+        Executes the actions.
     state : StateTable
         Ledger and health rows.
     settings : DirectorSection
-        Pace and bounds.
+        Intervals, timeouts and load limits.
     waiting : callable
-        What waits in the gateways of a failure domain, by model.
+        Returns the requests waiting in a failure domain's gateways, by model.
     """
 
     def __init__(
@@ -115,8 +115,8 @@
             await self.sleep(self._settings.tick_interval_s)
 
     async def _async_tick(self) -> None:
-        # One configuration for the whole tick, though another may come in force
-        # while a read is on its way.
+        # The whole tick uses one configuration, although another one may come
+        # into force while a read is in progress.
         current = self._keeper.current
         held = self._settled_domains()
         if current is None or not held:
@@ -133,7 +133,7 @@
             if spec.failure_domain in held
             and (step := self._next_step(fleet, spec)) is not None
         ]
-        # A model without any replica is loaded before a second copy of another.
+        # First replicas of models are loaded before additional ones.
         steps.sort(key=lambda step: step[1].is_load and not step[1].is_first_replica)
         loading = self._count_loading(fleet, held)
         for spec, action in steps:
@@ -144,10 +144,10 @@
             self._start_action(spec, action)
 
     def _settled_domains(self) -> list[FailureDomainName]:
-        """Return the held domains, leaving out those taken a moment ago.
+        """Return the held failure domains, except those that were just taken.
 
-        The previous holder's last order may still be on its way; a short pause
-        lets it arrive before the endpoint's report is believed.
+        The last order of the previous holder may still be in transit. A short
+        pause lets it arrive before the endpoint's report is used.
         """
         held = self._leases.held()
         now_s = self._core.clock()
@@ -169,10 +169,11 @@
         self._read_s = now_s
 
     def _update_plan(self, current: Configuration) -> None:
-        """Plan anew when something has changed that a plan depends on.
+        """Recompute the plan if its inputs have changed.
 
-        Another file or another set of usable endpoints is planned for at once;
-        what changes otherwise waits, so that planning keeps to its share of time.
+        A new configuration or a new set of usable endpoints is planned
+        immediately. Other changes are delayed to limit the time that planning
+        takes to ``PLAN_SHARE``.
         """
         fleet = current.fleet
         basis = (current.version, self.state_table.usable())
@@ -235,7 +236,7 @@
         return None if action is None else (spec, action)
 
     def _desired_models(self, fleet: FleetSpec, name: EndpointName) -> set[str]:
-        """Return the planned models; an endpoint not in the plan keeps its own."""
+        """Return the planned models, or the current ones if there is no plan."""
         if name in self.plan.assignment:
             return self.plan.assignment[name]
         row = self.state_table.ledger[name].row
@@ -262,7 +263,7 @@
         self._core.metrics.quarantined.set({}, len(self.quarantined))
 
     def _changes_ledger(self, ledger_row: LedgerRow, row: Endpoint) -> bool:
-        """Return whether a report would change the ledger's row."""
+        """Return whether applying the report would change the ledger row."""
         if row.report.boot_id != ledger_row.boot_id:
             return False
         held = {h.artifact for h in row.report.artifacts}
@@ -316,11 +317,11 @@
             self._step_tasks.pop(name, None)
 
     def _request_reread(self) -> None:
-        """Read all rows anew before the next plan."""
+        """Make the next tick read all rows again."""
         self.state_table.forget_version()
 
     async def async_wait_for_tasks(self) -> None:
-        """Wait for the steps that are being carried out."""
+        """Wait for the actions in progress."""
         tasks = list(self._step_tasks.values())
         if tasks:
             await asyncio.wait(tasks, timeout=self._settings.order_timeout_s * 3)
--- a/chutelink/director/timer.py
+++ b/chutelink/director/timer.py
@@ -1,4 +1,4 @@
-"""When an unanswered order is repeated, and when it is given up."""
+"""Timers for repeating and expiring unanswered orders."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class OrderTimer:
-    """Times of open orders, on this director's own clock.
+    """Tracks the age of pending orders on this director's clock.
 
     Parameters
     ----------
     clock : callable
-        Seconds on a clock that never goes back.
+        Returns the time of a monotonic clock in seconds.
     order_lateness_s : float
-        How long an order may still take effect; 0 for ever.
+        How long an order may still take effect, or 0 for no limit.
     """
 
     def __init__(self, clock: Callable[[], float], order_lateness_s: float) -> None:
@@ -33,10 +33,10 @@
     def due(
         self, name: EndpointName, row: LedgerRow, report: EndpointReport
     ) -> frozenset[Artifact]:
-        """Return the claims whose order is to be repeated, with growing pauses.
+        """Return the artifacts whose order must be repeated, with backoff.
 
-        A load whose order was answered is left alone while the engine reports
-        that it is loading.
+        A load whose order was answered is not repeated while the engine reports
+        the artifact.
         """
         now_s = self._clock()
         held = {h.artifact for h in report.artifacts}
@@ -63,7 +63,7 @@
         return frozenset(due)
 
     def expired(self, name: EndpointName, row: LedgerRow) -> list[FencingNumber]:
-        """Return orders that have been open for longer than the bound allows."""
+        """Return the pending orders that are older than ``order_lateness_s``."""
         limit_s = self._order_lateness_s
         now_s = self._clock()
         pending = {
--- a/tests/director/test_leases.py
+++ b/tests/director/test_leases.py
@@ -1,4 +1,8 @@
-"""Never two holders at once, though holders freeze and replies are lost."""
+"""At most one director holds a lease at any time.
+
+Two directors would send conflicting orders to the same endpoints. The tests cover
+paused directors, unavailable tables, lost replies and late writes.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
     rng = random.Random(seed)
     table = FakeTable()
     managers = [make_manager(table, f"d{n}", "ab"[n % 2]) for n in range(4)]
-    # Clocks differ between VMs and are never compared.
+    # Clocks of different VMs are not synchronized and must not be compared.
     offsets_s = [rng.uniform(0, 1e6) for _ in managers]
     now_s, held_steps = 0.0, 0
     for _ in range(400):
--- a/tests/director/test_ledger_machine.py
+++ b/tests/director/test_ledger_machine.py
@@ -1,9 +1,10 @@
-"""No engine is asked to hold more than it has, whatever happens to orders.
+"""Stateful tests that an engine's memory is never overcommitted.
 
-The judge is the engine's own account, never the ledger. Two directors share one
-endpoint; orders are lost, answered late or delivered long after their sender has
-lost the lease; writes lose their replies; the engine restarts. An order rides on
-a connection to one engine process, so a restart ends what was on its way.
+Overcommits are detected by the engine's own accounting, not by the ledger. Two
+directors share one endpoint. Orders are lost, answered late or delivered after
+their sender lost the lease, replies to writes are lost, and the engine restarts.
+An order is sent on a connection to one engine process, so a restart drops all
+orders in transit.
 """
 
 from __future__ import annotations
@@ -81,7 +82,7 @@
 
 
 class FakeClient:
-    """Sends orders to an engine, with the fault of the moment."""
+    """Sends orders to an engine and injects the current fault."""
 
     def __init__(self, machine) -> None:
         self._machine = machine
@@ -103,7 +104,7 @@
 
 
 class FakeLeases:
-    """What one director believes of the lease."""
+    """Lease state as seen by one director, which may be outdated."""
 
     def __init__(self, machine, number: int) -> None:
         self._machine = machine
@@ -165,7 +166,7 @@
 
     @rule(number=st.integers(0, 1))
     def take_over(self, number):
-        """Another director takes the lease; the one before may not know it."""
+        """Give the lease to a director without informing the previous holder."""
         key = PREFIX_LEASE_TERM + "a"
         transaction = Transaction(WriteId("t"), (), (Write(key, {"n": number}),))
         leases = self.directors[number][0]
@@ -182,7 +183,7 @@
         clean_steps=st.integers(0, 2),
     )
     def change_plan_with_fault(self, name, fault, clean_steps):
-        """Want one model only; some order on the way meets a fault."""
+        """Plan a single model and inject a fault into one of the steps."""
         number = self.holder
         self.steps_without_faults(number)
         self.plan({name})
@@ -193,7 +194,7 @@
 
     @rule(number=st.integers(0, 1), fault=st.sampled_from(Fault))
     def step(self, number, fault):
-        """One director reads, believes a fresh report and takes its next step."""
+        """One director reads the table, applies a new report and runs an action."""
         self.fault = fault
         self.loop.run_until_complete(self.async_step(number))
 
@@ -228,7 +229,7 @@
             )
             action = next_action(inputs)
             if action is not None:
-                # The guard's row is not part of this machine's table.
+                # The table of this test does not contain the guard's row.
                 action = type(action)(
                     **{
                         f: getattr(action, f)
@@ -243,7 +244,7 @@
             self.table.lose_replies = 0
 
     def spare_row(self):
-        """Return a row that holds everything, so that every unload is safe."""
+        """Return a row that holds all artifacts, so that any unload is allowed."""
         names = [m.artifact for m in self.fleet.models.values()]
         names += [a.artifact for a in self.fleet.adapters.values()]
         claims = tuple(
@@ -259,7 +260,7 @@
 
     @rule(is_busy=st.booleans())
     def change_requests(self, is_busy):
-        """Start or end requests, which keep an artifact until they are done."""
+        """Start or end requests; an artifact stays in memory while it has any."""
         for artifact, kept in list(self.engine.held.items()):
             kept.running = int(is_busy)
             self.engine._free_if_drained(artifact)
@@ -267,7 +268,7 @@
     @precondition(lambda self: self.checks_fencing and self.delivered)
     @rule(data=st.data())
     def deliver_again(self, data):
-        """Double an order; an engine that ignores fencing can't be protected."""
+        """Deliver an order twice; only engines that check fencing can reject it."""
         index = data.draw(st.integers(0, len(self.delivered) - 1))
         self.deliver_to_engine(self.delivered[index])
 
--- a/tests/director/test_orders.py
+++ b/tests/director/test_orders.py
@@ -1,4 +1,7 @@
-"""The last two replicas of a model can't be taken away at the same moment."""
+"""Concurrent directors must not unload the last two replicas of a model.
+
+Each unload is guarded by the other replica, so one of the writes must conflict.
+"""
 
 from __future__ import annotations
 
@@ -77,7 +80,7 @@
     table, sent = FakeTable(), []
     put_rows(table)
     term_version = table.table.version
-    # Both have read the rows before either acts.
+    # Both directors read the rows before either of them writes.
     executors = [make_executor(table, sent) for _ in range(2)]
     for executor in executors:
         executor._leases = SimpleNamespace(check_held=lambda name, step: term_version)
@@ -98,7 +101,7 @@
 
 
 def test_loaded_model_is_announced_before_the_ledger_row_is_written():
-    """The unload of what it replaces follows the row."""
+    """The replaced copy is unloaded only after the row is written."""
     table = FakeTable()
     put_rows(table, ClaimState.LOADING)
     term_version = table.table.version
--- a/tests/director/test_placer.py
+++ b/tests/director/test_placer.py
@@ -1,4 +1,7 @@
-"""The director's tick: one configuration throughout, planned at the right time."""
+"""A tick of the placer uses a single configuration.
+
+A configuration that comes into force during a tick is planned in the next one.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 
 class SwitchingTable(FakeTable):
-    """Runs something while a read is on its way."""
+    """Calls ``on_read`` at the start of each read."""
 
     def __init__(self):
         super().__init__()
