--- a/chutelink/systems/routing.py
+++ b/chutelink/systems/routing.py
@@ -69,8 +69,8 @@
         prefill_s = self._prefill_s(row, request)
         is_local = row.spec.failure_domain == self._failure_domain
         domain_penalty_s = 0.0 if is_local else REMOTE_DOMAIN_PENALTY_S
-        batching_s = row.report.step_s * load / max(1, row.spec.slots)
-        return domain_penalty_s + batching_s + (1 + waiting) * prefill_s
+        load_delay_s = row.report.step_s * load / max(1, row.spec.slots)
+        return domain_penalty_s + load_delay_s + (1 + waiting) * prefill_s
 
     def _prefill_s(self, row: Endpoint, request: WaitingRequest) -> float:
         cached = 0
