--- a/chutelink/director/app.py
+++ b/chutelink/director/app.py
@@ -1,4 +1,4 @@
-"""The director's application object: wiring only."""
+"""Application object that wires the components of a director."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from ..settings import DirectorSettings
 from ..tables.members import MemberState, Role
 from ..tables.state import StateTable
-from .leases import LeaseKeeper
-from .orders import OrderDesk
+from .leases import LeaseManager
+from .orders import OrderExecutor
 from .placer import Placer
 
 
 class DirectorApp(Daemon):
-    """Acts for the failure domains whose leases it holds."""
+    """Director daemon for the failure domains whose leases it holds."""
 
     role = Role.DIRECTOR
 
     def __init__(self, settings: DirectorSettings) -> None:
         super().__init__("chutelink-director", settings)
-        self.leases: LeaseKeeper | None = None
+        self.leases: LeaseManager | None = None
         self.placer: Placer | None = None
         self._watched_domains: frozenset[str] = frozenset()
 
     async def async_setup_role(self) -> None:
-        """Create leases, orders and placement."""
+        """Create the lease manager, the order executor and the placer."""
         settings = self.settings.director
         table = self.platform.table
         state = StateTable()
-        self.leases = LeaseKeeper(self, table, settings)
-        desk = OrderDesk(
+        self.leases = LeaseManager(self, table, settings)
+        executor = OrderExecutor(
             self, table, self.client, self.leases, state, settings.order_timeout_s
         )
         self.placer = Placer(
@@ -40,40 +40,43 @@
             self.endpoints,
             self.monitor,
             self.leases,
-            desk,
+            executor,
             state,
             settings,
             self.mesh.queues.waiting,
         )
-        desk.on_loaded = self._tell_loaded
-        self.leases.on_change = self._watch_held
+        executor.on_loaded = self._announce_loaded
+        self.leases.on_change = self._update_watched
         self.leases.has_director = self._has_director
-        for part in (self.leases, self.placer):
-            await self.add_runtime_dependency(part)
+        for component in (self.leases, self.placer):
+            await self.add_runtime_dependency(component)
 
     def is_watched(self, name: EndpointName) -> bool:
-        """Return whether the endpoint's failure domain is held here."""
+        """Return whether this director holds the endpoint's failure domain."""
         spec = self.endpoints.rows[name].spec
         return spec.failure_domain in self._watched_domains
 
     def on_fleet(self) -> None:
-        """Contend for the failure domains of the fleet in force."""
+        """Contend for the leases of all failure domains in the current fleet."""
         self.leases.sync(sorted(self.keeper.fleet.failure_domains))
 
-    def _tell_loaded(self, name: EndpointName) -> None:
-        """Let gateways read an endpoint's report before another is unloaded."""
+    def _announce_loaded(self, name: EndpointName) -> None:
+        """Tell gateways that an endpoint has loaded an artifact.
+
+        They read the endpoint's report before another copy is unloaded.
+        """
         self.mesh.broadcast(encode_loaded(EndpointLoaded(name)), TOPIC_LOADED)
 
     def _has_director(self, failure_domain: FailureDomainName) -> bool:
-        """Return whether a failure domain has a live director of its own."""
+        """Return whether a director in the failure domain itself is alive."""
         return any(
             member.state is MemberState.ALIVE
             and member.failure_domain == failure_domain
             for member in self.members.live(Role.DIRECTOR)
         )
 
-    def _watch_held(self) -> None:
-        """Poll just the endpoints of the failure domains that are held."""
+    def _update_watched(self) -> None:
+        """Restrict polling to the endpoints in the held failure domains."""
         held = frozenset(self.leases.held())
         if held == self._watched_domains:
             return
@@ -81,7 +84,7 @@
         self.monitor.sync(frozenset(self.keeper.drains.names))
 
     def fill_status(self, status: DaemonStatus) -> DaemonStatus:
-        """Add leases, quarantine and what found no place."""
+        """Add held leases, quarantined endpoints and unplaced models."""
         status_fields = {
             "leases": sorted(self.leases.held()),
             "quarantined": sorted(self.placer.quarantined),
@@ -92,9 +95,9 @@
         )
 
     async def async_drain(self) -> None:
-        """Finish the orders being sent, then give the leases back."""
+        """Wait for orders in progress, then release the leases."""
         self.mesh.announce_leaving()
         self.leases.is_releasing = True
         await self.placer.stop()
-        await self.placer.async_settle()
+        await self.placer.async_wait_for_tasks()
         await self.leases.async_release()
--- a/chutelink/director/health.py
+++ b/chutelink/director/health.py
@@ -1,4 +1,4 @@
-"""What a lease's holder tells the other directors of its failure domain."""
+"""Publishes endpoint health and demand of a failure domain to other directors."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from ..store import Check, TableService, Write, async_commit
 from ..tables.endpoints import Endpoint, EndpointState, EndpointTable
 from ..tables.state import HealthRow, StateTable
-from .leases import LeaseKeeper
+from .leases import LeaseManager
 
 DEMAND_SMOOTHING = 0.2
 DEMAND_STEP = 4
 
 
 class HealthPublisher:
-    """Publishes usable endpoints and demand, only when they change.
+    """Publishes usable endpoints and demand whenever they change.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the publisher.
     table : TableService
-        Where health rows are.
+        Table that stores the health rows.
     endpoints : EndpointTable
-        Reports of the endpoints watched.
-    leases : LeaseKeeper
-        Checked in each transaction.
-    shared : StateTable
-        The rows as last known; own writes are put there.
+        Reports of the watched endpoints.
+    leases : LeaseManager
+        Provides the lease term that each transaction checks.
+    state : StateTable
+        Last known rows, updated with this director's writes.
     waiting : callable
-        What waits in the gateways of a failure domain, by model.
+        Returns the requests waiting in a failure domain's gateways, by model.
     """
 
     def __init__(
@@ -44,24 +44,24 @@
         core: Application,
         table: TableService,
         endpoints: EndpointTable,
-        leases: LeaseKeeper,
-        shared: StateTable,
+        leases: LeaseManager,
+        state: StateTable,
         waiting: Callable[[FailureDomainName, float], dict[str, int]],
     ) -> None:
         self._core = core
         self._table = table
         self._endpoints = endpoints
         self._leases = leases
-        self._shared = shared
+        self._state = state
         self._waiting = waiting
         self._demand: dict[FailureDomainName, dict[str, float]] = {}
 
     async def async_publish(self, fleet: FleetSpec, domain: FailureDomainName) -> None:
-        """Tell the other directors, only when something has changed."""
+        """Write the health row of a failure domain if it has changed."""
         health = self._observe_health(fleet, domain)
-        if health == self._shared.health.get(domain):
+        if health == self._state.health.get(domain):
             return
-        version = self._shared.health_versions.get(domain, 0)
+        version = self._state.health_versions.get(domain, 0)
         key = PREFIX_HEALTH + domain
         term_version = self._leases.check_held(domain, "health.write")
         try:
@@ -74,36 +74,38 @@
                 [Write(key, msgspec.to_builtins(health))],
             )
         except TransactionConflict:
-            self._shared.forget_version()
+            self._state.forget_version()
             return
-        self._shared.put_health(domain, health, written)
+        self._state.put_health(domain, health, written)
 
     def _observe_health(self, fleet: FleetSpec, domain: FailureDomainName) -> HealthRow:
         usable: list[EndpointName] = []
-        seen: dict[str, float] = {}
+        observed: dict[str, float] = {}
         for spec in fleet.engines():
             row = self._endpoints.rows.get(spec.name)
             if spec.failure_domain != domain or row is None:
                 continue
             if row.state is EndpointState.LIVE:
                 usable.append(spec.name)
-            self._add_demand(fleet, row, seen)
-        # An engine's own queue is short: what is in excess waits in the gateways.
+            self._add_demand(fleet, row, observed)
+        # Engine queues are short, so most excess requests wait in the gateways.
         for name, count in self._waiting(domain, self._core.clock()).items():
-            seen[name] = seen.get(name, 0.0) + count
-        smooth = self._demand.setdefault(domain, {})
+            observed[name] = observed.get(name, 0.0) + count
+        averages = self._demand.setdefault(domain, {})
         for model in fleet.models:
-            before = smooth.get(model, 0.0)
-            smooth[model] = before + DEMAND_SMOOTHING * (seen.get(model, 0.0) - before)
-        known = self._shared.health.get(domain, HealthRow()).demand
+            previous = averages.get(model, 0.0)
+            averages[model] = previous + DEMAND_SMOOTHING * (
+                observed.get(model, 0.0) - previous
+            )
+        known = self._state.health.get(domain, HealthRow()).demand
         demand = {
-            model: _settle_step(value, known.get(model, 0))
-            for model, value in smooth.items()
+            model: _round_demand(value, known.get(model, 0))
+            for model, value in averages.items()
         }
         return HealthRow(tuple(usable), {m: d for m, d in demand.items() if d})
 
     def _add_demand(
-        self, fleet: FleetSpec, row: Endpoint, seen: dict[str, float]
+        self, fleet: FleetSpec, row: Endpoint, observed: dict[str, float]
     ) -> None:
         if row.report is None or row.state is EndpointState.LOST:
             return
@@ -111,11 +113,15 @@
             model = fleet.base_model(held.name)
             if model is not None:
                 count = held.running + held.waiting
-                seen[model.name] = seen.get(model.name, 0.0) + count
+                observed[model.name] = observed.get(model.name, 0.0) + count
+
 
+def _round_demand(value: float, known: int) -> int:
+    """Round demand to a multiple of ``DEMAND_STEP``, with hysteresis.
 
-def _settle_step(value: float, known: int) -> int:
-    """Round to steps, keeping the known value within a step of it."""
+    A nonzero known value is kept while demand differs from it by less than one
+    step and is at least 0.5.
+    """
     if known and abs(value - known) < DEMAND_STEP:
         return known if value >= 0.5 else 0
     return round(value / DEMAND_STEP) * DEMAND_STEP
--- a/chutelink/director/leases.py
+++ b/chutelink/director/leases.py
@@ -1,4 +1,7 @@
-"""Keep one lease for each failure domain, without comparing clocks."""
+"""Leases of failure domains.
+
+Each director measures time on its own clock only; clocks are never compared.
+"""
 
 from __future__ import annotations
 
@@ -22,21 +25,24 @@
 from ..tables.leases import Lease, LeaseRow, LeaseState, TermRow
 
 RENEWALS_PER_LEASE = 4
-FOREIGN_PATIENCE = 3.0
-"""A lease of another failure domain is left to its own directors for longer."""
+FOREIGN_WAIT_FACTOR = 3.0
+"""Multiplies the wait before taking an expired lease of another failure domain.
+
+The longer wait gives the directors of that failure domain precedence.
+"""
 
 
-class LeaseKeeper(Service):
-    """Contends for leases and renews those held.
+class LeaseManager(Service):
+    """Acquires and renews leases.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns the manager.
     table : TableService
-        Where leases are.
+        Table that stores the leases.
     settings : DirectorSection
-        Length and margin.
+        Provides the lease duration and its safety margin.
     """
 
     def __init__(
@@ -52,24 +58,24 @@
         self.has_director: Callable[[FailureDomainName], bool] = lambda name: False
 
     def sync(self, failure_domains: list[FailureDomainName]) -> None:
-        """Contend for the leases of these failure domains."""
+        """Set the failure domains whose leases this director contends for."""
         for name in failure_domains:
             self.leases.setdefault(name, Lease(name))
         for name in self.leases.keys() - set(failure_domains):
             del self.leases[name]
 
     def held(self) -> list[FailureDomainName]:
-        """Return the failure domains that this director acts for now."""
+        """Return the failure domains whose leases are currently held."""
         now_s = self._core.clock()
         return [n for n, lease in self.leases.items() if lease.is_held(now_s)]
 
     def check_held(self, name: FailureDomainName, step: str) -> int:
-        """Return the version of the term's row, or raise.
+        """Return the version of the lease's term row.
 
         Raises
         ------
         LeaseNotHeld
-            The lease is not held, or ends within the margin.
+            The lease is not held, or it expires within the margin.
         """
         lease = self.leases.get(name)
         if lease is None or not lease.is_held(self._core.clock()):
@@ -77,7 +83,7 @@
         return lease.term_version
 
     def lose(self, name: FailureDomainName) -> None:
-        """Stop acting for a failure domain at once."""
+        """Stop using the lease of a failure domain immediately."""
         lease = self.leases.get(name)
         if lease is not None and lease.state is LeaseState.HELD:
             self._lose(lease)
@@ -92,7 +98,7 @@
 
     async def _async_tick(self) -> None:
         try:
-            await self._async_watch()
+            await self._async_refresh()
         except PlatformUnavailable as error:
             self._core.events.warning("lease_watch_failed", error=error)
             return
@@ -103,9 +109,9 @@
                 self._lose(lease)
             except (PlatformUnavailable, WriteOutcomeUnknown) as error:
                 self._core.events.warning("lease_write_failed", error=error)
-        self._show()
+        self._notify_change()
 
-    async def _async_watch(self) -> None:
+    async def _async_refresh(self) -> None:
         page = await self._table.async_read(PREFIX_LEASE)
         now_s = self._core.clock()
         for name, lease in self.leases.items():
@@ -116,21 +122,23 @@
     async def _async_contend(self, lease: Lease) -> None:
         now_s = self._core.clock()
         if lease.state is LeaseState.HELD:
-            if not self._is_own(lease) and self.has_director(lease.failure_domain):
-                await self._async_give_back(lease)
+            if not self._is_own_domain(lease) and self.has_director(
+                lease.failure_domain
+            ):
+                await self._async_release_lease(lease)
             else:
                 await self._async_renew(lease)
-        elif lease.may_take(now_s, self._patience_s(lease)):
+        elif lease.may_take(now_s, self._takeover_wait_s(lease)):
             await self._async_take(lease)
 
-    def _patience_s(self, lease: Lease) -> float:
-        """Return how long the row must be unchanged before it may be taken."""
-        if self._is_own(lease):
+    def _takeover_wait_s(self, lease: Lease) -> float:
+        """Return how long the row must be unchanged before the lease may be taken."""
+        if self._is_own_domain(lease):
             return 0.0 if lease.is_free else self._settings.lease_s
-        factor = 1.0 if lease.is_free else FOREIGN_PATIENCE
+        factor = 1.0 if lease.is_free else FOREIGN_WAIT_FACTOR
         return self._settings.lease_s * factor
 
-    def _is_own(self, lease: Lease) -> bool:
+    def _is_own_domain(self, lease: Lease) -> bool:
         return lease.failure_domain == self._core.daemon.failure_domain
 
     async def _async_renew(self, lease: Lease) -> None:
@@ -141,7 +149,7 @@
         await self._async_write(lease, row.counter + 1)
 
     async def _async_take(self, lease: Lease) -> None:
-        """Take a lease: its row and its term change together."""
+        """Take a lease by writing its row and its term row in one transaction."""
         key = PREFIX_LEASE_TERM + lease.failure_domain
         found = (await self._table.async_read(key)).get(key)
         version = found.version if found is not None else 0
@@ -165,7 +173,11 @@
         *,
         is_released: bool = False,
     ) -> int:
-        """Write the lease's row; the lease counts from before the write."""
+        """Write the lease's row.
+
+        The lease duration starts before the write, so that the lease ends here
+        no later than other directors assume.
+        """
         started_s = self._core.clock()
         key = PREFIX_LEASE + lease.failure_domain
         row = LeaseRow(self._core.daemon_id, self._core.boot_id, counter, is_released)
@@ -183,17 +195,17 @@
         if lease.state is LeaseState.HELD:
             self._core.events.warning("lease_lost", failure_domain=lease.failure_domain)
         lease.lose(self._core.clock())
-        self._show()
+        self._notify_change()
 
     async def async_release(self) -> None:
-        """Give all leases back, so that others need not wait for their end."""
+        """Release all leases, so that other directors need not wait for expiry."""
         self.is_releasing = True
         for lease in self.leases.values():
             if lease.state is LeaseState.HELD:
-                await self._async_give_back(lease)
+                await self._async_release_lease(lease)
 
-    async def _async_give_back(self, lease: Lease) -> None:
-        """Stop acting at once, then say so."""
+    async def _async_release_lease(self, lease: Lease) -> None:
+        """Stop using a lease immediately, then mark it as released."""
         lease.lose(self._core.clock())
         counter = lease.row.counter + 1 if lease.row is not None else 1
         try:
@@ -203,6 +215,6 @@
         lease.lose(self._core.clock())
         self._core.events.info("lease_given_back", failure_domain=lease.failure_domain)
 
-    def _show(self) -> None:
+    def _notify_change(self) -> None:
         self.on_change()
         self._core.metrics.lease_held.set({}, len(self.held()))
--- a/chutelink/director/timer.py
+++ b/chutelink/director/timer.py
@@ -1,4 +1,4 @@
-"""When an unanswered order is repeated, and when it is given up."""
+"""Timers for repeating and expiring unanswered orders."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class OrderTimer:
-    """Times of open orders, on this director's own clock.
+    """Tracks the age of pending orders on this director's clock.
 
     Parameters
     ----------
     clock : callable
-        Seconds on a clock that never goes back.
+        Returns the time of a monotonic clock in seconds.
     order_lateness_s : float
-        How long an order may still take effect; 0 for ever.
+        How long an order may still take effect, or 0 for no limit.
     """
 
     def __init__(self, clock: Callable[[], float], order_lateness_s: float) -> None:
@@ -33,10 +33,10 @@
     def due(
         self, name: EndpointName, row: LedgerRow, report: EndpointReport
     ) -> frozenset[Artifact]:
-        """Return the claims whose order is to be repeated, with growing pauses.
+        """Return the artifacts whose order must be repeated, with backoff.
 
-        A load whose order was answered is left alone while the engine reports
-        that it is loading.
+        A load whose order was answered is not repeated while the engine reports
+        the artifact.
         """
         now_s = self._clock()
         held = {h.artifact for h in report.artifacts}
@@ -63,17 +63,17 @@
         return frozenset(due)
 
     def expired(self, name: EndpointName, row: LedgerRow) -> list[FencingNumber]:
-        """Return orders that have been open for longer than the bound allows."""
-        bound_s = self._order_lateness_s
+        """Return the pending orders that are older than ``order_lateness_s``."""
+        limit_s = self._order_lateness_s
         now_s = self._clock()
-        open_now = {
+        pending = {
             (name, order.fence) for claim in row.claims for order in claim.pending
         }
         known = {key for key in self._pending_since if key[0] == name}
-        for key in known - open_now:
+        for key in known - pending:
             del self._pending_since[key]
-        for key in open_now:
+        for key in pending:
             self._pending_since.setdefault(key, now_s)
-        if bound_s == 0:
+        if limit_s == 0:
             return []
-        return [f for n, f in open_now if now_s - self._pending_since[n, f] > bound_s]
+        return [f for n, f in pending if now_s - self._pending_since[n, f] > limit_s]
--- a/chutelink/systems/ledger.py
+++ b/chutelink/systems/ledger.py
@@ -1,4 +1,7 @@
-"""Changes of a ledger row; each keeps the memory invariant or is refused."""
+"""State transitions of a ledger row.
+
+Every transition either preserves the memory invariant or is rejected.
+"""
 
 from __future__ import annotations
 
@@ -20,16 +23,17 @@
 
 
 def check_memory(row: LedgerRow) -> LedgerRow:
-    """Return the row if no accelerator is claimed above its memory.
+    """Return the row if the claims on each accelerator fit in its memory.
 
     Raises
     ------
     InvariantViolated
-        Naming the accelerator; the caller must not write the row.
+        The claims exceed an accelerator's memory. The caller must not write
+        the row.
     """
     for index, used_mb in enumerate(row.used_mb()):
         if used_mb > row.memory_mb:
-            message = f"accelerator {index}: {used_mb} MB of {row.memory_mb} claimed"
+            message = f"accelerator {index}: {used_mb} MB claimed of {row.memory_mb} MB"
             raise InvariantViolated(message, step="ledger.memory", peer=row.endpoint)
     return row
 
@@ -37,9 +41,9 @@
 def choose_accelerators(
     free_mb: list[int], count: int, memory_mb: int
 ) -> tuple[int, ...] | None:
-    """Return the fullest accelerators that still have room, or None.
+    """Return the accelerators with the least free memory that suffices, or None.
 
-    Best fit keeps large gaps whole for large models.
+    Best fit reduces fragmentation, so that large models still find space.
     """
     fitting = [i for i, free in enumerate(free_mb) if free >= memory_mb]
     if len(fitting) < count:
@@ -55,27 +59,27 @@
     accelerators: tuple[int, ...],
     memory_mb: int,
 ) -> Result[LedgerRow, str]:
-    """Claim memory for a load and allot its order number.
+    """Claim memory for a load and allocate its fencing number.
 
-    A claim that is already there keeps its accelerators: repeating its order
-    can then never take memory elsewhere.
+    An existing claim keeps its accelerators, so that repeating its order never
+    uses memory on other accelerators.
     """
     fence = FencingNumber(row.fence + 1)
     order = PendingOrder(fence, OrderAction.LOAD)
-    known = row.claim_of(artifact)
-    if known is not None:
-        if known.state is ClaimState.UNLOADING:
+    existing = row.claim_of(artifact)
+    if existing is not None:
+        if existing.state is ClaimState.UNLOADING:
             return Failure(f"{artifact} is being unloaded")
         changed = replace(
-            known,
+            existing,
             state=ClaimState.LOADING,
             fence=fence,
-            pending=(*known.pending, order),
+            pending=(*existing.pending, order),
         )
-        return Success(check_memory(_put(replace(row, fence=fence), changed)))
+        return Success(check_memory(_replace_claim(replace(row, fence=fence), changed)))
     free_mb = row.free_mb()
     if any(free_mb[index] < memory_mb for index in accelerators):
-        return Failure(f"no room for {artifact}")
+        return Failure(f"not enough free memory for {artifact}")
     claim = Claim(
         artifact, kind, accelerators, memory_mb, ClaimState.LOADING, fence, (order,)
     )
@@ -83,34 +87,37 @@
 
 
 def claim_unload(row: LedgerRow, artifact: Artifact) -> Result[LedgerRow, str]:
-    """Mark a claim as going and allot the order number; its memory stays claimed."""
-    known = row.claim_of(artifact)
-    if known is None:
+    """Mark a claim as unloading and allocate the order's fencing number.
+
+    The memory stays claimed until the unload is confirmed.
+    """
+    existing = row.claim_of(artifact)
+    if existing is None:
         return Failure(f"no claim for {artifact}")
     fence = FencingNumber(row.fence + 1)
     order = PendingOrder(fence, OrderAction.UNLOAD)
     changed = replace(
-        known,
+        existing,
         state=ClaimState.UNLOADING,
         fence=fence,
-        pending=(*known.pending, order),
+        pending=(*existing.pending, order),
     )
-    return Success(_put(replace(row, fence=fence), changed))
+    return Success(_replace_claim(replace(row, fence=fence), changed))
 
 
-def allot_fence(row: LedgerRow) -> LedgerRow:
-    """Allot an order number that touches no claim."""
+def allocate_fence(row: LedgerRow) -> LedgerRow:
+    """Allocate a fencing number for an order that changes no claim."""
     return replace(row, fence=FencingNumber(row.fence + 1))
 
 
-def note_answer(
+def apply_answer(
     row: LedgerRow, fence: FencingNumber, *, checks_fencing: bool
 ) -> LedgerRow:
-    """Strike off the orders that an answer proves can't take effect any more.
+    """Remove the pending orders that can no longer take effect after an answer.
 
-    An endpoint that checks fencing numbers refuses every earlier order once it
-    has answered a later one. One that ignores them proves only the order that
-    it answered.
+    An endpoint that checks fencing numbers refuses all earlier orders once it
+    has answered a later one. If an endpoint ignores fencing numbers, an answer
+    settles only the order that it answers.
     """
 
     def is_open(order: PendingOrder) -> bool:
@@ -118,62 +125,64 @@
             return order.fence > fence
         return order.fence != fence
 
-    return _keep_pending(row, is_open)
+    return _filter_pending(row, is_open)
 
 
-def note_refused(row: LedgerRow, artifact: Artifact) -> LedgerRow:
-    """Drop a load that the endpoint refused, once none of its orders is open."""
+def remove_refused_load(row: LedgerRow, artifact: Artifact) -> LedgerRow:
+    """Remove the claim of a refused load if it has no other pending load order."""
     claim = row.claim_of(artifact)
     if claim is None or claim.has_pending_load:
         return row
     if claim.state is not ClaimState.LOADING:
         return row
-    return _drop(row, artifact)
+    return _remove_claim(row, artifact)
 
 
-def note_report(row: LedgerRow, loaded: Iterable[Artifact]) -> LedgerRow:
-    """Bring claims in line with what the endpoint reports as loaded.
+def apply_report(row: LedgerRow, loaded: Iterable[Artifact]) -> LedgerRow:
+    """Update the claims from the artifacts that the endpoint reports as loaded.
 
     Parameters
     ----------
     row : LedgerRow
-        The row as last written.
+        The last written row.
     loaded : iterable of Artifact
-        Everything that the engine holds ready, from a report asked for after
-        the last answer was noted.
+        All artifacts that the engine reports as loaded. The report must have
+        been requested after the last answer was applied.
 
     Returns
     -------
     LedgerRow
-        Unloads that are proved are retired; a claim that is gone from the
-        engine goes back to LOADING, so that it is ordered again.
+        The row in which loading claims that are present are LOADED. A loaded
+        claim that the engine no longer holds returns to LOADING, so that the
+        load is ordered again.
     """
     present = set(loaded)
     for claim in row.claims:
         is_present = claim.artifact in present
         if claim.state is ClaimState.LOADING and is_present:
-            row = _put(row, replace(claim, state=ClaimState.LOADED))
+            row = _replace_claim(row, replace(claim, state=ClaimState.LOADED))
         elif claim.state is ClaimState.LOADED and not is_present:
-            row = _put(row, replace(claim, state=ClaimState.LOADING))
+            row = _replace_claim(row, replace(claim, state=ClaimState.LOADING))
     return row
 
 
-def retire_unloaded(row: LedgerRow, held: Iterable[Artifact]) -> LedgerRow:
-    """Give back the memory of unloads that are proved done.
+def release_unloaded(row: LedgerRow, held: Iterable[Artifact]) -> LedgerRow:
+    """Release the memory of unloads that are confirmed.
 
-    Proof is that the engine holds nothing of it in any state and that no load
-    order for it is open. An open unload does no harm to memory.
+    An unload is confirmed when the engine does not hold the artifact in any
+    state and no load order for it is pending. A pending unload order can be
+    ignored, because it cannot increase memory use.
     """
     present = set(held)
     for claim in row.claims:
         is_done = claim.artifact not in present and not claim.has_pending_load
         if claim.state is ClaimState.UNLOADING and is_done:
-            row = _drop(row, claim.artifact)
+            row = _remove_claim(row, claim.artifact)
     return row
 
 
 def expire_pending(row: LedgerRow, fences: Iterable[FencingNumber]) -> LedgerRow:
-    """Strike off orders that are past the settable bound on lateness."""
+    """Remove pending orders that exceeded the configured ``order_lateness_s``."""
     expired = set(fences)
     claims = [
         replace(
@@ -184,7 +193,9 @@
     return replace(row, claims=tuple(claims))
 
 
-def _keep_pending(row: LedgerRow, is_open: Callable[[PendingOrder], bool]) -> LedgerRow:
+def _filter_pending(
+    row: LedgerRow, is_open: Callable[[PendingOrder], bool]
+) -> LedgerRow:
     claims = [
         replace(claim, pending=tuple(o for o in claim.pending if is_open(o)))
         for claim in row.claims
@@ -192,11 +203,11 @@
     return replace(row, claims=tuple(claims))
 
 
-def _put(row: LedgerRow, claim: Claim) -> LedgerRow:
+def _replace_claim(row: LedgerRow, claim: Claim) -> LedgerRow:
     claims = tuple(claim if c.artifact == claim.artifact else c for c in row.claims)
     return replace(row, claims=claims)
 
 
-def _drop(row: LedgerRow, artifact: Artifact) -> LedgerRow:
+def _remove_claim(row: LedgerRow, artifact: Artifact) -> LedgerRow:
     claims = tuple(c for c in row.claims if c.artifact != artifact)
     return replace(row, claims=claims)
