--- a/chutelink/gateway/__init__.py
+++ b/chutelink/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: admits, queues, routes, retries and relays callers' requests."""
+"""Gateway daemon: admits, queues, routes, retries and proxies callers' requests."""
--- a/chutelink/gateway/claims.py
+++ b/chutelink/gateway/claims.py
@@ -1,4 +1,8 @@
-"""At most once: a claim row for each idempotency key, committed in groups."""
+"""Idempotency claims: one table row per key, committed in batches.
+
+A request with an idempotency key is dispatched only after its claim row is
+committed, so each key runs at most once across all gateways.
+"""
 
 from __future__ import annotations
 
@@ -22,18 +26,18 @@
 from ..store import Check, TableService, Write, async_commit, decode_value
 from .refusals import Refusal, unavailable, unknown_outcome
 
-PLATFORM_RETRY_S = 2.0
+PLATFORM_RETRY_AFTER_S = 2.0
 POLL_INTERVAL_S = 0.2
 MAX_BATCH = 64
 MAX_STORED_BODY_BYTES = 64 * 1024
 SETTLE_RETRY_S = 0.5
 SETTLE_ATTEMPTS = 120
-TAKE_OVER_ATTEMPTS = 4
+MAX_CLAIM_ATTEMPTS = 4
 STATUS_REUSED_KEY = 422
 
 
 class ClaimStatus(Enum):
-    """Where a key stands."""
+    """Status of the request that holds an idempotency key."""
 
     CLAIMED = "claimed"
     DONE = "done"
@@ -42,7 +46,10 @@
 
 
 class ClaimRow(msgspec.Struct, frozen=True):
-    """One key's row; ``body`` is base64, left out where it is too large."""
+    """Stored claim on an idempotency key.
+
+    ``body`` is base64-encoded; a body above `MAX_STORED_BODY_BYTES` is not stored.
+    """
 
     attempt: AttemptId
     gateway: DaemonId
@@ -56,7 +63,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A claim that this process holds, with the version of its row."""
+    """Claim held by this process, with the version of its row."""
 
     key: str
     version: int
@@ -64,7 +71,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """An answer that was given before for the same key."""
+    """Response stored by an earlier request with the same key."""
 
     status: int
     content_type: str
@@ -72,7 +79,7 @@
 
 
 class _Pending(msgspec.Struct, eq=False):
-    """A claim waiting for its group to be committed."""
+    """Claim waiting for its batch to be committed."""
 
     key: str
     version: int
@@ -81,26 +88,26 @@
 
 
 def claim_key(caller: str, path: str, idempotency_key: str) -> str:
-    """Return the row's key for one caller's key on one route."""
+    """Return the row key for a caller's idempotency key on a path."""
     text = "\0".join((caller, path, idempotency_key))
     return PREFIX_CLAIM + hashlib.sha256(text.encode()).hexdigest()
 
 
-class ClaimKeeper(Service):
-    """Claims keys before dispatch and stores what became of them.
+class ClaimManager(Service):
+    """Claims idempotency keys before dispatch and stores the outcomes.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        Application that owns this service.
     table : TableService
-        Where claims last.
+        Table that stores the claim rows.
     flush_s : float
-        How long a group is gathered.
+        How long claims are collected before their batch is committed.
     wait_s : float
-        How long the same key again waits for the running request.
+        How long a repeated key waits for the request that is still running.
     is_gone : callable
-        Whether a gateway's process is known to have ended.
+        Returns whether a gateway's process is known to have ended.
     """
 
     def __init__(
@@ -118,21 +125,22 @@
         self._wait_s = wait_s
         self._is_gone = is_gone
         self._pending: list[_Pending] = []
-        self._arrived = asyncio.Event()
-        self._settling: set[asyncio.Task] = set()
-        self._given_up: set[AttemptId] = set()
+        self._pending_added = asyncio.Event()
+        self._settle_tasks: set[asyncio.Task] = set()
+        self._abandoned_attempts: set[AttemptId] = set()
 
     async def async_claim(self, key: str, request_hash: str) -> Claim | StoredAnswer:
-        """Claim a key, or return the answer that it already got.
+        """Claim a key, or return the response already stored for it.
 
         Raises
         ------
         Refusal
-            NOT_RUN when the platform is out; UNKNOWN when an earlier request
-            with this key may have been run.
+            NOT_RUN if the key could not be claimed, as when the table service is
+            unavailable; UNKNOWN if an earlier request with this key may have been
+            run. Reusing the key for a different request is refused as well.
         """
         version = 0
-        for _ in range(TAKE_OVER_ATTEMPTS):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             row = ClaimRow(
                 AttemptId(make_id()),
                 self._core.daemon_id,
@@ -140,15 +148,15 @@
                 request_hash,
             )
             try:
-                written = await self._async_insert(key, version, row)
+                row_version = await self._async_insert(key, version, row)
             except TransactionConflict:
-                found = await self._async_resolve_existing(key, request_hash)
-                if isinstance(found, StoredAnswer):
-                    return found
-                version = found
+                existing = await self._async_resolve_existing(key, request_hash)
+                if isinstance(existing, StoredAnswer):
+                    return existing
+                version = existing
                 continue
-            self._count("claimed")
-            return Claim(key, written, row)
+            self._count_result("claimed")
+            return Claim(key, row_version, row)
         raise unavailable("the key is being claimed elsewhere", 1.0)
 
     async def _async_insert(self, key: str, version: int, row: ClaimRow) -> int:
@@ -156,45 +164,50 @@
             key, version, row, asyncio.get_running_loop().create_future()
         )
         self._pending.append(pending)
-        self._arrived.set()
+        self._pending_added.set()
         try:
             return await pending.committed
         except PlatformUnavailable as error:
-            self._count("platform_out")
-            raise unavailable("the table service is out", PLATFORM_RETRY_S) from error
+            self._count_result("platform_out")
+            raise unavailable(
+                "the table service is out", PLATFORM_RETRY_AFTER_S
+            ) from error
         except WriteOutcomeUnknown as error:
-            # Never dispatched; the row may be there and must not stay.
-            self._given_up.add(row.attempt)
-            self._settle(Claim(key, version, row), ClaimStatus.NOT_RUN)
-            self._count("reply_lost")
-            raise unavailable("the table service is out", PLATFORM_RETRY_S) from error
+            # The request is never dispatched, but its row may have been written and
+            # must not block the key.
+            self._abandoned_attempts.add(row.attempt)
+            self._settle_as(Claim(key, version, row), ClaimStatus.NOT_RUN)
+            self._count_result("reply_lost")
+            raise unavailable(
+                "the table service is out", PLATFORM_RETRY_AFTER_S
+            ) from error
 
     async def async_finish(
         self, claim: Claim, status: int, content_type: str, body: bytes
     ) -> None:
-        """Store an answer; if the platform is out, go on trying behind it."""
-        is_kept = len(body) <= MAX_STORED_BODY_BYTES
+        """Store a response; retry in the background if the platform is unavailable."""
+        fits_row = len(body) <= MAX_STORED_BODY_BYTES
         row = msgspec.structs.replace(
             claim.row,
             status=ClaimStatus.DONE,
             http_status=status,
             content_type=content_type,
-            body=base64.b64encode(body).decode() if is_kept else "",
-            is_body_kept=is_kept,
+            body=base64.b64encode(body).decode() if fits_row else "",
+            is_body_kept=fits_row,
         )
-        self._count("done")
+        self._count_result("done")
         await self._async_store_or_settle(claim, row)
 
     async def async_release(self, claim: Claim) -> None:
-        """Say that nothing was run: the key may be claimed again."""
+        """Record that nothing was run, so that the key can be claimed again."""
         row = msgspec.structs.replace(claim.row, status=ClaimStatus.NOT_RUN)
-        self._count("not_run")
+        self._count_result("not_run")
         await self._async_store_or_settle(claim, row)
 
     async def async_mark_unknown(self, claim: Claim) -> None:
-        """Say that the request may have been run."""
+        """Record that the request may have been run."""
         row = msgspec.structs.replace(claim.row, status=ClaimStatus.UNKNOWN)
-        self._count("unknown")
+        self._count_result("unknown")
         await self._async_store_or_settle(claim, row)
 
     async def _async_store_or_settle(self, claim: Claim, row: ClaimRow) -> None:
@@ -203,7 +216,7 @@
         except TransactionConflict:
             self._core.events.warning("claim_overtaken", key=claim.key)
         except (PlatformUnavailable, WriteOutcomeUnknown):
-            self._settle_row(claim, row)
+            self._start_settle_task(claim, row)
 
     async def _async_store(self, key: str, version: int, row: ClaimRow) -> None:
         await async_commit(
@@ -212,27 +225,32 @@
             [Write(key, msgspec.to_builtins(row))],
         )
 
-    def _settle(self, claim: Claim, status: ClaimStatus) -> None:
-        self._settle_row(claim, msgspec.structs.replace(claim.row, status=status))
+    def _settle_as(self, claim: Claim, status: ClaimStatus) -> None:
+        self._start_settle_task(
+            claim, msgspec.structs.replace(claim.row, status=status)
+        )
 
-    def _settle_row(self, claim: Claim, row: ClaimRow) -> None:
+    def _start_settle_task(self, claim: Claim, row: ClaimRow) -> None:
         task = asyncio.ensure_future(self._async_settle(claim, row))
-        self._settling.add(task)
-        task.add_done_callback(self._settling.discard)
-        task.add_done_callback(lambda _: self._given_up.discard(row.attempt))
+        self._settle_tasks.add(task)
+        task.add_done_callback(self._settle_tasks.discard)
+        task.add_done_callback(lambda _: self._abandoned_attempts.discard(row.attempt))
 
     async def _async_settle(self, claim: Claim, row: ClaimRow) -> None:
-        """Write a row's end once the platform is back, unless it was overtaken."""
+        """Write a row's final status, retrying until the platform is available.
+
+        A row that another attempt has claimed meanwhile is left as it is.
+        """
         for _ in range(SETTLE_ATTEMPTS):
             await asyncio.sleep(SETTLE_RETRY_S * self._core.rng.uniform(0.5, 1.5))
             try:
-                found = (await self._table.async_read(claim.key)).get(claim.key)
-                stored = decode_value(found, ClaimRow)
-                is_ours = stored is not None and stored.attempt == row.attempt
-                if is_ours and stored.status is row.status:
+                stored = (await self._table.async_read(claim.key)).get(claim.key)
+                current = decode_value(stored, ClaimRow)
+                is_own = current is not None and current.attempt == row.attempt
+                if is_own and current.status is row.status:
                     return
-                if is_ours or (stored is None and row.status is ClaimStatus.NOT_RUN):
-                    version = found.version if found is not None else 0
+                if is_own or (current is None and row.status is ClaimStatus.NOT_RUN):
+                    version = stored.version if stored is not None else 0
                     await self._async_store(claim.key, version, row)
                 return
             except (PlatformUnavailable, WriteOutcomeUnknown, TransactionConflict):
@@ -242,71 +260,76 @@
     async def _async_resolve_existing(
         self, key: str, request_hash: str
     ) -> StoredAnswer | int:
-        """Return a stored answer, or the version of a row to take over."""
+        """Return a stored response, or the version of a row that may be replaced."""
         deadline_s = self._core.clock() + self._wait_s
         while True:
             try:
-                found = (await self._table.async_read(key)).get(key)
-                row = decode_value(found, ClaimRow)
+                stored = (await self._table.async_read(key)).get(key)
+                row = decode_value(stored, ClaimRow)
             except PlatformUnavailable as error:
                 title = "an earlier request with this key can't be looked up"
                 raise unknown_outcome(title, 503) from error
             if row is None:
-                return found.version if found is not None else 0
+                return stored.version if stored is not None else 0
             if row.request_hash != request_hash:
                 raise Refusal(STATUS_REUSED_KEY, "key was used for another request")
             if row.status is ClaimStatus.DONE:
                 return self._replay(row)
-            if row.status is ClaimStatus.NOT_RUN or row.attempt in self._given_up:
-                return found.version
+            if (
+                row.status is ClaimStatus.NOT_RUN
+                or row.attempt in self._abandoned_attempts
+            ):
+                return stored.version
             if row.status is ClaimStatus.UNKNOWN:
-                self._count("repeated_unknown")
+                self._count_result("repeated_unknown")
                 raise unknown_outcome("an earlier request may have been run")
             if self._is_gone(row.gateway, row.boot_id):
-                await self._async_bury(key, found.version, row)
+                await self._async_mark_orphan_unknown(key, stored.version, row)
                 raise unknown_outcome("the gateway that ran this key is gone")
             if self._core.clock() >= deadline_s:
                 raise unknown_outcome("an earlier request still runs", 504)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _replay(self, row: ClaimRow) -> StoredAnswer:
-        self._count("replayed")
+        self._count_result("replayed")
         if not row.is_body_kept:
             raise unknown_outcome("done before; the answer was too large to keep", 409)
         return StoredAnswer(
             row.http_status, row.content_type, base64.b64decode(row.body)
         )
 
-    async def _async_bury(self, key: str, version: int, row: ClaimRow) -> None:
-        """Mark a dead gateway's claim, so that nobody takes it for running."""
-        dead = msgspec.structs.replace(row, status=ClaimStatus.UNKNOWN)
+    async def _async_mark_orphan_unknown(
+        self, key: str, version: int, row: ClaimRow
+    ) -> None:
+        """Mark a claim UNKNOWN whose gateway has ended and can't finish it."""
+        unknown_row = msgspec.structs.replace(row, status=ClaimStatus.UNKNOWN)
         try:
-            await self._async_store(key, version, dead)
+            await self._async_store(key, version, unknown_row)
         except (TransactionConflict, PlatformUnavailable, WriteOutcomeUnknown):
             return
 
     @Service.task
     async def _async_flush_loop(self) -> None:
         while not self.should_stop:
-            await self._arrived.wait()
-            self._arrived.clear()
+            await self._pending_added.wait()
+            self._pending_added.clear()
             await asyncio.sleep(self._flush_s)
             while self._pending:
-                batch, self._pending = self._take_batch()
+                batch, self._pending = self._next_batch()
                 await self._async_flush(batch)
 
-    def _take_batch(self) -> tuple[list[_Pending], list[_Pending]]:
-        """Return a group with each key once, and the rest."""
+    def _next_batch(self) -> tuple[list[_Pending], list[_Pending]]:
+        """Return a batch with each key at most once, and the remaining claims."""
         batch: dict[str, _Pending] = {}
-        rest: list[_Pending] = []
+        remaining: list[_Pending] = []
         for pending in self._pending:
             if pending.committed.done():
                 continue
             if pending.key in batch or len(batch) >= MAX_BATCH:
-                rest.append(pending)
+                remaining.append(pending)
             else:
                 batch[pending.key] = pending
-        return list(batch.values()), rest
+        return list(batch.values()), remaining
 
     async def _async_flush(self, batch: list[_Pending]) -> None:
         while batch:
@@ -326,7 +349,7 @@
                         pending.committed.set_result(version)
                 return
 
-    def _count(self, result: str) -> None:
+    def _count_result(self, result: str) -> None:
         self._core.metrics.claims.inc({"result": result})
 
 
@@ -338,11 +361,14 @@
 def _fail_conflicting(
     batch: list[_Pending], conflict: TransactionConflict
 ) -> list[_Pending]:
-    """Fail the claim whose key is taken; return the others to try again."""
-    rest = [p for p in batch if p.key != conflict.peer]
-    if len(rest) == len(batch):
-        rest = []
+    """Fail the claim whose row has changed; return the others to be committed again.
+
+    All claims fail if the conflicting key is in none of them.
+    """
+    remaining = [p for p in batch if p.key != conflict.peer]
+    if len(remaining) == len(batch):
+        remaining = []
     for pending in batch:
-        if pending not in rest:
+        if pending not in remaining:
             _set_exception(pending, conflict)
-    return rest
+    return remaining
--- a/chutelink/gateway/parts.py
+++ b/chutelink/gateway/components.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway that its handlers share."""
+"""Components that the gateway's request handlers share."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 from ..tables.callers import CallerTable
 from ..tables.endpoints import EndpointTable
 from ..tables.members import MemberTable
-from .claims import ClaimKeeper
+from .claims import ClaimManager
 from .dispatcher import Dispatcher
 from .refusals import Refusal, unauthorized
 from .relay import Relay
 
-TYPICAL_PREFILL_TOKENS_PER_S = 10_000.0
+DEFAULT_PREFILL_TOKENS_PER_S = 10_000.0
 REQUEST_ID = web.RequestKey("request_id", RequestId)
 
 
-class GatewayParts:
-    """What handlers use; wired by the application.
+class GatewayComponents:
+    """Shared state and services of the request handlers, set up by the application.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        Application that owns the components.
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     client : EndpointClient
-        To speak to endpoints.
-    claims : ClaimKeeper
-        Idempotency keys.
+        HTTP client for the endpoints.
+    claims : ClaimManager
+        Claims on idempotency keys.
     endpoints : EndpointTable
-        What is known of endpoints.
+        Known state of the endpoints.
     members : MemberTable
-        What is known of other daemons.
+        Known state of the other daemons.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         core: Application,
         settings: GatewaySettings,
         client: EndpointClient,
-        claims: ClaimKeeper,
+        claims: ClaimManager,
         endpoints: EndpointTable,
         members: MemberTable,
     ) -> None:
@@ -63,7 +63,7 @@
         self.members = members
         self.callers = CallerTable()
         self.keys: KeyIndex[CallerSpec] = KeyIndex()
-        self.budget = RetryBudget(settings.gateway.retry_budget_ratio)
+        self.retry_budget = RetryBudget(settings.gateway.retry_budget_ratio)
         self.dispatcher = Dispatcher(
             core,
             endpoints,
@@ -75,42 +75,45 @@
             client,
             self.dispatcher,
             endpoints,
-            self.budget,
+            self.retry_budget,
             settings.gateway.idle_timeout_s,
         )
         self._tasks: set[asyncio.Task] = set()
 
     def sync_keys(self, fleet: FleetSpec) -> None:
-        """Take the keys of the fleet in force."""
+        """Apply the API keys of the active fleet."""
         self.keys = KeyIndex(
             (KeyHash(caller.key_sha256), caller) for caller in fleet.callers.values()
         )
 
     def authenticate(self, request: web.Request) -> CallerSpec:
-        """Return the caller of a request, or refuse it."""
+        """Return the caller of a request, or raise `Refusal` with status 401."""
         caller = self.keys.find(request.headers)
         if caller is None:
             raise unauthorized()
         return caller
 
     def admit(self, caller: CallerSpec) -> None:
-        """Take a token of the caller's bucket, or refuse at once."""
+        """Take a token from the caller's bucket, or raise `Refusal` with status 429."""
         wait_s = self.callers.take(caller.name, self.core.clock())
         if wait_s > 0:
             raise Refusal(429, "over the caller's limit", retry_after_s=wait_s)
-        self.budget.note_request()
+        self.retry_budget.note_request()
 
     def expected_first_token_s(self, tokens: int) -> float:
-        """Return the expected time from dispatch to the first token."""
+        """Return the expected time from dispatch to the first token, in seconds.
+
+        The estimate uses the fastest prefill rate that any engine reports.
+        """
         rates = [
             row.report.prefill_tokens_per_s
             for row in self.endpoints.engines()
             if row.report is not None
         ]
-        return tokens / max(rates, default=TYPICAL_PREFILL_TOKENS_PER_S)
+        return tokens / max(rates, default=DEFAULT_PREFILL_TOKENS_PER_S)
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run something that must end even if its caller goes away."""
+        """Run a coroutine that must complete even if the caller disconnects."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -118,5 +121,5 @@
 
     @property
     def running_tasks(self) -> int:
-        """How many such tasks have not ended."""
+        """Number of spawned tasks that are still running."""
         return len(self._tasks)
--- a/chutelink/gateway/dispatcher.py
+++ b/chutelink/gateway/dispatcher.py
@@ -1,4 +1,8 @@
-"""Queue and dispatch: a tick runs when a request, a slot or a report arrives."""
+"""Request queue and dispatch to endpoints.
+
+Requests are dispatched when one arrives, when a slot is released and when an
+endpoint's report arrives.
+"""
 
 from __future__ import annotations
 
@@ -15,29 +19,30 @@
 from ..tables.requests import RequestQueue, WaitingRequest
 from .refusals import Refusal, unavailable
 
-TYPICAL_RELOAD_S = 5.0
+TYPICAL_LOAD_S = 5.0
+"""``Retry-After`` for a model that is not loaded."""
 MIN_WAIT_S = 0.001
 REPORT_WAIT_S = 0.1
-"""How long a request for a model that is not known to be loaded waits for reports."""
-CONTRADICTED_WAIT_S = 1.0
-"""How long one does that an endpoint refused: then the reports are known to be old."""
+"""How long a request waits for new reports if none lists its model as loaded."""
+STALE_REPORT_WAIT_S = 1.0
+"""The same for a request that an endpoint refused: its report was out of date."""
 REPORT_POLL_S = 0.02
 NOT_LOADED = "the model is not loaded now"
 
 
 class Dispatcher:
-    """Gives each request an endpoint, in the order of the queueing policy.
+    """Assigns endpoints to requests in the order of the queueing policy.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        Application that owns the dispatcher.
     table : EndpointTable
-        What is known of the endpoints.
+        Known state of the endpoints.
     max_queue : int
-        One more request than this is refused.
+        Maximum number of queued requests; further requests are refused.
     request_timeout_s : float
-        The longest that a request may wait.
+        Maximum time from the arrival of a request to its dispatch.
     """
 
     def __init__(
@@ -52,24 +57,26 @@
         self._max_queue = max_queue
         self._request_timeout_s = request_timeout_s
         self._queue = RequestQueue()
-        self._drain = DrainRate()
+        self._drain_rate = DrainRate()
         self._routing: Routing | None = None
         self._queueing: Queueing | None = None
         self._policies: tuple | None = None
         self._fleet: FleetSpec | None = None
-        self.async_refresh: Callable[[float], Awaitable[None]] = _async_keep_reports
+        self.async_refresh_reports: Callable[[float], Awaitable[None]] = (
+            _async_skip_refresh
+        )
 
     @property
     def queue_length(self) -> int:
-        """How many requests wait."""
+        """Number of queued requests."""
         return self._queue.size
 
     def waiting_by_model(self) -> dict[str, int]:
-        """Return how many requests wait, by model."""
+        """Return the number of queued requests by model."""
         return self._queue.waiting_by_model()
 
     def sync(self, fleet: FleetSpec) -> None:
-        """Take the fleet in force, and its policies."""
+        """Apply the active fleet and its routing and queueing policies."""
         self._fleet = fleet
         policies = (fleet.options.routing, fleet.options.queueing)
         if policies == self._policies:
@@ -81,9 +88,9 @@
         self._queueing = make_queueing(fleet.options.queueing)
 
     def artifacts_for(self, fleet: FleetSpec, name: str) -> tuple[Artifact, ...]:
-        """Return what must be loaded to serve a name, as it is served now.
+        """Return the artifacts that must be loaded to serve a model name now.
 
-        While a new version is still being loaded, the one before goes on.
+        While a new version is still being loaded, requests use the loaded one.
         """
         declared = fleet.needed_artifacts(name)
         if self._is_served(declared):
@@ -91,15 +98,16 @@
         for row in self._table.engines():
             if not row.takes_new_work:
                 continue
-            held = tuple(_held_by_name(row, wanted) for wanted in declared)
-            if None not in held:
-                return held
+            loaded = tuple(_latest_loaded_version(row, each) for each in declared)
+            if None not in loaded:
+                return loaded
         return declared
 
-    def renew(self, request: WaitingRequest) -> None:
-        """Let a request that was not run ask for what its model is served with now.
+    def refresh_artifacts(self, request: WaitingRequest) -> None:
+        """Update the artifacts of a request that was not run.
 
-        Its version may just have been unloaded, while a newer one is loaded elsewhere.
+        Its version may just have been unloaded while a newer one is loaded at
+        another endpoint.
         """
         if self._fleet is None:
             return
@@ -109,29 +117,30 @@
         request.artifacts = artifacts
         request.excluded = frozenset()
 
-    async def async_renew(
-        self, request: WaitingRequest, limit_s: float = CONTRADICTED_WAIT_S
+    async def async_refresh_artifacts(
+        self, request: WaitingRequest, max_wait_s: float = STALE_REPORT_WAIT_S
     ) -> None:
-        """Renew a request that was not run, with newer reports if it takes them.
+        """Update the artifacts of a request that was not run, polling if needed.
 
-        A model that has moved is loaded at an endpoint whose last report may be older.
+        A model that has moved may be loaded at an endpoint whose last report is
+        older than the move; new reports are then requested from the endpoints.
 
         Parameters
         ----------
         request : WaitingRequest
-            What no endpoint has begun.
-        limit_s : float
-            How long newer reports may be waited for.
+            A request that no endpoint has started.
+        max_wait_s : float
+            How long to wait for new reports.
         """
-        self.renew(request)
+        self.refresh_artifacts(request)
         if self._is_served(request.artifacts, request.excluded):
             return
-        end_s = self._core.clock() + limit_s
-        refresh = asyncio.ensure_future(self.async_refresh(limit_s))
+        end_s = self._core.clock() + max_wait_s
+        refresh = asyncio.ensure_future(self.async_refresh_reports(max_wait_s))
         try:
             while not refresh.done() and self._core.clock() < end_s:
                 await asyncio.wait({refresh}, timeout=REPORT_POLL_S)
-                self.renew(request)
+                self.refresh_artifacts(request)
                 if self._is_served(request.artifacts, request.excluded):
                     return
         finally:
@@ -148,13 +157,13 @@
         )
 
     async def async_acquire(self, request: WaitingRequest) -> Endpoint:
-        """Wait for an endpoint with a free slot and take the slot.
+        """Wait for an endpoint with a free slot and reserve the slot.
 
         Raises
         ------
         Refusal
-            No endpoint holds the model, the queue is full, or the target can't
-            be met and the class says to refuse.
+            No endpoint has the model loaded, the queue is full, or the latency
+            target can't be met and the request class refuses late requests.
         """
         while True:
             name = await self._async_dispatch(request)
@@ -163,19 +172,19 @@
             request.dispatched = asyncio.get_running_loop().create_future()
 
     async def _async_dispatch(self, request: WaitingRequest) -> EndpointName | None:
-        """Return an endpoint, or None if its last holder dropped the model."""
+        """Return an endpoint, or None if no endpoint serves the model any more."""
         if not request.excluded and not self._is_served(request.artifacts):
-            await self.async_renew(request, REPORT_WAIT_S)
+            await self.async_refresh_artifacts(request, REPORT_WAIT_S)
         now_s = self._core.clock()
         if not self._is_served(request.artifacts, request.excluded):
             title = "no other endpoint" if request.excluded else NOT_LOADED
-            raise unavailable(title, TYPICAL_RELOAD_S)
+            raise unavailable(title, TYPICAL_LOAD_S)
         if self._queue.size >= self._max_queue:
             raise Refusal(429, "queue is full", retry_after_s=self._retry_after_s())
         if not request.may_be_late and request.slack_s(now_s) < 0:
             raise unavailable("the target can't be met", self._retry_after_s())
         self._queue.add(request)
-        self._tick_group(request.artifacts)
+        self._dispatch_group(request.artifacts)
         if not request.dispatched.done():
             await self._async_wait(request, now_s)
         return request.dispatched.result()
@@ -184,7 +193,7 @@
         limit_s = self._request_timeout_s - (now_s - request.arrived_s)
         if not request.may_be_late:
             limit_s = min(limit_s, request.slack_s(now_s))
-        self._show()
+        self._update_queue_metric()
         try:
             async with asyncio.timeout(max(limit_s, MIN_WAIT_S)):
                 await request.dispatched
@@ -194,14 +203,14 @@
             title = "the target can't be met"
             raise unavailable(title, self._retry_after_s()) from error
         except asyncio.CancelledError:
-            self._give_back(request)
+            self._release_if_dispatched(request)
             raise
         finally:
             self._queue.remove(request)
-            self._show()
+            self._update_queue_metric()
 
-    def _give_back(self, request: WaitingRequest) -> None:
-        """Free a slot that a caller who has gone away was just given."""
+    def _release_if_dispatched(self, request: WaitingRequest) -> None:
+        """Release the slot of a request that was cancelled just after dispatch."""
         dispatched = request.dispatched
         if dispatched.done() and not dispatched.cancelled():
             name = dispatched.result()
@@ -209,25 +218,28 @@
                 self.release(name)
 
     def release(self, name: EndpointName) -> None:
-        """Give a slot back and let the next request have it."""
+        """Release a slot and dispatch the next request to it."""
         row = self._table.rows.get(name)
         if row is None:
             return
         row.inflight -= 1
-        self.tick(name)
+        self.dispatch_waiting(name)
 
-    def tick(self, name: EndpointName) -> None:
-        """Dispatch what waits for something that this endpoint holds."""
+    def dispatch_waiting(self, name: EndpointName) -> None:
+        """Dispatch queued requests whose artifacts this endpoint has loaded."""
         row = self._table.rows.get(name)
         if row is None or not self._queue.size:
             return
         for artifacts in self._queue.groups():
             if row.loaded.issuperset(artifacts):
-                self._tick_group(artifacts)
-        self._return_unserved()
+                self._dispatch_group(artifacts)
+        self._wake_unserved()
 
-    def _return_unserved(self) -> None:
-        """Wake at once what waits for a model that no endpoint serves any more."""
+    def _wake_unserved(self) -> None:
+        """Wake requests for models that no endpoint serves any more.
+
+        They are dispatched anew or refused at once, instead of at their timeout.
+        """
         for artifacts in self._queue.groups():
             for request in list(self._queue.group(artifacts)):
                 if self._is_served(artifacts, request.excluded):
@@ -235,7 +247,7 @@
                 self._queue.remove(request)
                 request.dispatched.set_result(None)
 
-    def _tick_group(self, artifacts: tuple[Artifact, ...]) -> None:
+    def _dispatch_group(self, artifacts: tuple[Artifact, ...]) -> None:
         now_s = self._core.clock()
         holders = self._table.holders(artifacts)
         skipped: list[WaitingRequest] = []
@@ -250,22 +262,22 @@
                 continue
             self._queue.remove(request)
             row.inflight += 1
-            self._drain.note(now_s)
+            self._drain_rate.note(now_s)
             request.dispatched.set_result(row.name)
 
     def _retry_after_s(self) -> float:
-        rate_per_s = self._drain.rate_per_s(self._core.clock())
+        rate_per_s = self._drain_rate.rate_per_s(self._core.clock())
         return retry_after_s(self._queue.size, rate_per_s)
 
-    def _show(self) -> None:
+    def _update_queue_metric(self) -> None:
         self._core.metrics.queue_length.set({}, self._queue.size)
 
 
-async def _async_keep_reports(limit_s: float) -> None:
-    """Leave the reports as they are: none can be requested."""
+async def _async_skip_refresh(max_wait_s: float) -> None:
+    """Return without new reports; the default until a monitor is connected."""
 
 
-def _held_by_name(row: Endpoint, wanted: Artifact) -> Artifact | None:
-    """Return any loaded version of an artifact's name."""
-    found = [a for a in row.loaded if a.name == wanted.name]
-    return max(found, default=None)
+def _latest_loaded_version(row: Endpoint, artifact: Artifact) -> Artifact | None:
+    """Return the greatest loaded version of an artifact, or None."""
+    versions = [a for a in row.loaded if a.name == artifact.name]
+    return max(versions, default=None)
--- a/chutelink/gateway/http.py
+++ b/chutelink/gateway/http.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP routes, and what all requests go through."""
+"""HTTP routes of the gateway, and the steps common to all requests."""
 
 from __future__ import annotations
 
@@ -16,51 +16,51 @@
 from ..tables.members import Member, MemberState, Role
 from ..tracing import extract_context
 from .completions import PATH_CHAT, PATH_COMPLETIONS, CompletionHandler
-from .parts import REQUEST_ID, GatewayParts
+from .components import REQUEST_ID, GatewayComponents
 from .refusals import Refusal, malformed, unavailable, unknown_outcome
 from .requests import check_model
 from .services import ServiceHandler
 
-NO_CONFIG_RETRY_S = 2.0
+NO_CONFIG_RETRY_AFTER_S = 2.0
 
 Handler = Callable[
     [web.Request, Span, CallerSpec, FleetSpec], Awaitable[web.StreamResponse]
 ]
 
 
-class AddressAnswer(msgspec.Struct, frozen=True):
-    """One gateway that a caller may use."""
+class GatewayAddress(msgspec.Struct, frozen=True):
+    """Address of a gateway that a caller may use."""
 
     url: str
     failure_domain: str
 
 
 class Addresses(msgspec.Struct, frozen=True):
-    """Gateways in order, and how long the answer may be kept."""
+    """Gateways in order of preference, and how long callers may cache them."""
 
-    addresses: list[AddressAnswer]
+    addresses: list[GatewayAddress]
     valid_s: float
 
 
 class GatewayHttp:
-    """Routes of the gateway.
+    """Routes of the gateway for callers.
 
     Parameters
     ----------
-    parts : GatewayParts
-        What the handlers use.
-    keeper : ConfigKeeper
-        The fleet in force.
+    components : GatewayComponents
+        Components that the handlers share.
+    config : ConfigKeeper
+        Provides the active fleet.
     """
 
-    def __init__(self, parts: GatewayParts, keeper: ConfigKeeper) -> None:
-        self._parts = parts
-        self._keeper = keeper
+    def __init__(self, components: GatewayComponents, config: ConfigKeeper) -> None:
+        self._components = components
+        self._config = config
 
     def add_routes(self, app: web.Application) -> None:
-        """Add all routes for callers."""
-        completions = CompletionHandler(self._parts)
-        services = ServiceHandler(self._parts)
+        """Register all routes for callers."""
+        completions = CompletionHandler(self._components)
+        services = ServiceHandler(self._components)
         add = app.router.add_route
         add("GET", "/v1/addresses", self._wrap(self._async_addresses))
         add("GET", "/v1/models", self._wrap(self._async_models))
@@ -70,7 +70,7 @@
 
     def _wrap(self, handler: Handler):
         async def async_handle(request: web.Request) -> web.StreamResponse:
-            started_s = self._parts.core.clock()
+            started_s = self._components.core.clock()
             return await self._async_serve(handler, request, started_s)
 
         return async_handle
@@ -78,17 +78,17 @@
     async def _async_serve(
         self, handler: Handler, request: web.Request, started_s: float
     ) -> web.StreamResponse:
-        core = self._parts.core
+        core = self._components.core
         request_id = RequestId(make_id())
         request[REQUEST_ID] = request_id
         with core.tracer.start_as_current_span(
             "gateway.receive", context=extract_context(request.headers)
         ) as span:
             try:
-                fleet = self._keeper.fleet
+                fleet = self._config.fleet
                 if fleet is None:
-                    raise unavailable("no configuration yet", NO_CONFIG_RETRY_S)
-                caller = self._parts.authenticate(request)
+                    raise unavailable("no configuration yet", NO_CONFIG_RETRY_AFTER_S)
+                caller = self._components.authenticate(request)
                 response = await handler(request, span, caller, fleet)
                 outcome = "answered"
             except Refusal as refusal:
@@ -112,7 +112,7 @@
         return response
 
     def _log_refusal(self, request: web.Request, refusal: Refusal) -> None:
-        self._parts.core.events.info(
+        self._components.core.events.info(
             "request_refused",
             request=request[REQUEST_ID],
             path=request.path,
@@ -134,17 +134,23 @@
             raise Refusal(403, "not permitted for this key")
         gateways = self.order_gateways(model or service)
         answer = Addresses(
-            [AddressAnswer(m.url, m.failure_domain) for m in gateways],
-            self._parts.settings.gateway.valid_s,
+            [GatewayAddress(m.url, m.failure_domain) for m in gateways],
+            self._components.settings.gateway.valid_s,
         )
-        return _json(answer)
+        return _json_response(answer)
 
     def order_gateways(self, key: str) -> list[Member]:
-        """Return the gateways for a model or service, best first."""
-        live = {m.id: m for m in self._parts.members.live(Role.GATEWAY)}
-        certain = [i for i, m in live.items() if m.state is MemberState.ALIVE]
-        chosen = rendezvous_order(key, certain or live)
-        return [live[i] for i in chosen[: self._parts.settings.gateway.subset]]
+        """Return the gateways for a model or service, most preferred first.
+
+        Suspected gateways are listed only if none is known to be alive.
+        """
+        live_by_id = {m.id: m for m in self._components.members.live(Role.GATEWAY)}
+        alive_ids = [i for i, m in live_by_id.items() if m.state is MemberState.ALIVE]
+        ordered_ids = rendezvous_order(key, alive_ids or live_by_id)
+        return [
+            live_by_id[i]
+            for i in ordered_ids[: self._components.settings.gateway.subset]
+        ]
 
     async def _async_models(
         self, request: web.Request, span: Span, caller: CallerSpec, fleet: FleetSpec
@@ -155,10 +161,10 @@
             for name in names
             if caller.may_use_model(name)
         ]
-        return _json({"object": "list", "data": data})
+        return _json_response({"object": "list", "data": data})
 
 
-def _json(value: object) -> web.Response:
+def _json_response(value: object) -> web.Response:
     return web.Response(
         body=msgspec.json.encode(value), content_type="application/json"
     )
--- a/chutelink/gateway/keyed.py
+++ b/chutelink/gateway/idempotency.py
@@ -1,4 +1,4 @@
-"""Run a request under an idempotency key, even if its caller goes away."""
+"""Run a request under an idempotency key, even if the caller disconnects."""
 
 from __future__ import annotations
 
@@ -9,56 +9,58 @@
 
 from ..endpoints.client import WholeAnswer
 from .claims import Claim, StoredAnswer, claim_key
-from .parts import GatewayParts
+from .components import GatewayComponents
 from .refusals import Outcome, Refusal, malformed
 
 HEADER_REPLAYED = "Chutelink-Replayed"
 MAX_KEY_LENGTH = 256
 
-Run = Callable[[], Awaitable[WholeAnswer]]
+RunRequest = Callable[[], Awaitable[WholeAnswer]]
 
 
-async def async_run_keyed(
-    parts: GatewayParts,
+async def async_run_idempotent(
+    components: GatewayComponents,
     caller: str,
     path: str,
     key: str,
     request_hash: str,
-    run: Run,
+    run: RunRequest,
 ) -> web.Response:
-    """Claim the key, run the request once and store its answer.
+    """Claim the key, run the request once and store its response.
 
     Parameters
     ----------
-    parts : GatewayParts
-        The gateway.
+    components : GatewayComponents
+        Components of the gateway.
     caller, path, key : str
-        What the claim is for.
+        Identify the claim.
     request_hash : str
-        Tells the same request from another with the same key.
+        Distinguishes a repeated request from another one with the same key.
     run : callable
-        Carries the request out.
+        Executes the request.
     """
     if len(key) > MAX_KEY_LENGTH:
         raise malformed(f"idempotency key above {MAX_KEY_LENGTH} characters")
     row_key = claim_key(caller, path, key)
-    # Once dispatched, the outcome must be stored though the caller has gone.
-    task = parts.spawn(_async_run_claimed(parts, row_key, request_hash, run))
+    # Once dispatched, the outcome must be stored even if the caller disconnects.
+    task = components.spawn(
+        _async_claim_and_run(components, row_key, request_hash, run)
+    )
     return await asyncio.shield(task)
 
 
-async def _async_run_claimed(
-    parts: GatewayParts, row_key: str, request_hash: str, run: Run
+async def _async_claim_and_run(
+    components: GatewayComponents, row_key: str, request_hash: str, run: RunRequest
 ) -> web.Response:
-    found = await parts.claims.async_claim(row_key, request_hash)
+    found = await components.claims.async_claim(row_key, request_hash)
     if isinstance(found, StoredAnswer):
         return web.Response(
             status=found.status,
             body=found.body,
             headers={"Content-Type": found.content_type, HEADER_REPLAYED: "1"},
         )
-    answer = await _async_run_once(parts, found, run)
-    await parts.claims.async_finish(
+    answer = await _async_run_and_update_claim(components, found, run)
+    await components.claims.async_finish(
         found, answer.status, answer.content_type, answer.body
     )
     return web.Response(
@@ -68,12 +70,14 @@
     )
 
 
-async def _async_run_once(parts: GatewayParts, claim: Claim, run: Run) -> WholeAnswer:
+async def _async_run_and_update_claim(
+    components: GatewayComponents, claim: Claim, run: RunRequest
+) -> WholeAnswer:
     try:
         return await run()
     except Refusal as refusal:
         if refusal.outcome is Outcome.NOT_RUN:
-            await parts.claims.async_release(claim)
+            await components.claims.async_release(claim)
         else:
-            await parts.claims.async_mark_unknown(claim)
+            await components.claims.async_mark_unknown(claim)
         raise
--- a/chutelink/gateway/main.py
+++ b/chutelink/gateway/main.py
@@ -8,10 +8,10 @@
 
 
 def main() -> int:
-    """Run a gateway."""
+    """Run the gateway daemon and return its exit code."""
     return run_program(
         "chutelink-gateway",
-        "Answer callers: admit, queue, route, retry and relay their requests.",
+        "Serve callers: admit, queue, route, retry and relay their requests.",
         GatewaySettings,
         GatewayApp,
     )
--- a/chutelink/gateway/refusals.py
+++ b/chutelink/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Honest refusals: what became of the request, and when to come back."""
+"""Error responses that state whether the request was run and when to retry."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class Outcome(Enum):
-    """What is known of a request that got no answer."""
+    """Whether a request that got no response may have been run."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class Refusal(Exception):
-    """A request ends without an answer of an endpoint.
+    """A request ends with an error response of the gateway itself.
 
     Parameters
     ----------
     status : int
         HTTP status.
     title : str
-        The reason, for people.
+        Human-readable reason.
     outcome : Outcome
-        Whether anything may have been run.
+        Whether any part of the request may have been run.
     retry_after_s : float, default=1.0
-        When to come back; said with NOT_RUN.
+        Value of ``Retry-After``; sent only with NOT_RUN.
     detail : str, default=""
-        More, such as the place of a fault in the body.
+        Further information, such as the position of an error in the body.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self.detail = detail
 
     def to_problem(self) -> dict[str, object]:
-        """Return the body as RFC 9457 has it."""
+        """Return the body as an RFC 9457 problem document."""
         problem: dict[str, object] = {
             "type": "about:blank",
             "title": self.title,
@@ -64,9 +64,10 @@
         return problem
 
     def to_response(self, *, has_fractions: bool = False) -> web.Response:
-        """Return the answer for the caller.
+        """Return the HTTP response for the caller.
 
-        ``has_fractions`` is for callers that take parts of a second.
+        ``has_fractions`` sends ``Retry-After`` with fractions of a second, for
+        callers that accept them.
         """
         headers = {HEADER_OUTCOME: self.outcome.value}
         if self.outcome is Outcome.NOT_RUN:
@@ -83,41 +84,41 @@
         )
 
     def to_event(self) -> bytes:
-        """Return the event that ends a stream without its end mark."""
+        """Return the server-sent event that ends a stream without its end marker."""
         body = msgspec.json.encode(self.to_problem())
         return b"event: error\ndata: " + body + b"\n\n"
 
 
 def unauthorized() -> Refusal:
-    """Return the refusal of an unknown key."""
+    """Return the refusal for a missing or unknown API key."""
     return Refusal(401, "key missing or unknown")
 
 
 def over_quota(retry_after_s: float) -> Refusal:
-    """Return the refusal of a request above what its customer may use."""
+    """Return the refusal for a request that exceeds its customer's quota."""
     return Refusal(429, "over the customer's quota", retry_after_s=retry_after_s)
 
 
 def forbidden() -> Refusal:
-    """Return the refusal of a name that the caller may not use."""
+    """Return the refusal for a name that the caller may not use."""
     return Refusal(403, "not permitted for this key")
 
 
 def not_found(what: str) -> Refusal:
-    """Return the refusal of a name that is permitted but not declared."""
+    """Return the refusal for a name that is permitted but not declared."""
     return Refusal(404, f"{what} is not declared")
 
 
 def malformed(detail: str) -> Refusal:
-    """Return the refusal of a body that can't be understood."""
+    """Return the refusal for a request that can't be parsed or is invalid."""
     return Refusal(400, "malformed request", detail=detail)
 
 
 def unavailable(title: str, retry_after_s: float) -> Refusal:
-    """Return the refusal of a request that was not run for lack of a place."""
+    """Return the refusal for a request that was not run for lack of resources."""
     return Refusal(503, title, retry_after_s=retry_after_s)
 
 
 def unknown_outcome(title: str, status: int = 502) -> Refusal:
-    """Return the answer for a request that may have been run."""
+    """Return the error for a request that may have been run."""
     return Refusal(status, title, outcome=Outcome.UNKNOWN)
--- a/chutelink/gateway/relay.py
+++ b/chutelink/gateway/relay.py
@@ -1,4 +1,7 @@
-"""Relay a completion: whole, or as a stream that may go on elsewhere."""
+"""Relay a completion: as one response, or as a stream.
+
+A stream whose endpoint fails may be resumed at another endpoint.
+"""
 
 from __future__ import annotations
 
@@ -42,9 +45,9 @@
 
 
 class Exchange(msgspec.Struct, eq=False):
-    """What is sent to whichever endpoint a request gets.
+    """A completion request as sent to each endpoint that is tried.
 
-    ``is_repeatable`` says that running it twice does no harm.
+    ``is_repeatable`` means that it may safely be run more than once.
     """
 
     waiting: WaitingRequest
@@ -55,22 +58,22 @@
 
 
 class Relay:
-    """Carries exchanges out, with retries where they are safe.
+    """Sends requests to endpoints and retries them where that is safe.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        Application that owns the relay.
     client : EndpointClient
-        To speak to engines.
+        HTTP client for the engines.
     dispatcher : Dispatcher
-        Gives endpoints.
+        Assigns endpoints to requests.
     table : EndpointTable
-        Learns which endpoints fail.
-    budget : RetryBudget
-        Bounds retries after failures.
+        Records which endpoints fail.
+    retry_budget : RetryBudget
+        Limits retries after failures.
     idle_timeout_s : float
-        The longest silence of an endpoint or a caller within an answer.
+        Maximum time without data from an endpoint or to a caller in a response.
     """
 
     def __init__(
@@ -79,39 +82,42 @@
         client: EndpointClient,
         dispatcher: Dispatcher,
         table: EndpointTable,
-        budget: RetryBudget,
+        retry_budget: RetryBudget,
         idle_timeout_s: float,
     ) -> None:
         self._core = core
         self._client = client
         self._dispatcher = dispatcher
         self._table = table
-        self._budget = budget
+        self._retry_budget = retry_budget
         self._idle_timeout_s = idle_timeout_s
 
-    async def async_whole(self, exchange: Exchange) -> WholeAnswer:
-        """Return the whole answer of an endpoint.
+    async def async_relay_response(self, exchange: Exchange) -> WholeAnswer:
+        """Return the complete response of an endpoint.
 
         Raises
         ------
         Refusal
-            NOT_RUN only when nothing was run; else UNKNOWN.
+            NOT_RUN only if nothing was run, otherwise UNKNOWN.
         """
         may_have_run = False
         for _ in range(MAX_ATTEMPTS):
             row = await self._async_acquire(exchange, may_have_run)
             try:
-                return await self._async_attempt_whole(exchange, row)
+                return await self._async_attempt_response(exchange, row)
             except (EndpointUnreachable, EndpointRefused, EndpointFailed) as error:
                 may_have_run |= isinstance(error, EndpointFailed)
-                self._note_failure(exchange, row, error)
+                self._record_failure(exchange, row, error)
                 if isinstance(error, EndpointRefused):
-                    await self._dispatcher.async_renew(exchange.waiting)
+                    await self._dispatcher.async_refresh_artifacts(exchange.waiting)
                 self._check_retry(exchange, error, may_have_run)
-        raise self._give_up(may_have_run)
+        raise self._attempts_exhausted(may_have_run)
 
     async def _async_acquire(self, exchange: Exchange, may_have_run: bool) -> Endpoint:
-        """Get an endpoint; a refusal here is honest about earlier attempts."""
+        """Acquire an endpoint.
+
+        A refusal has the outcome UNKNOWN if an earlier attempt may have run.
+        """
         context = set_span_in_context(exchange.span)
         with self._core.tracer.start_as_current_span("gateway.queue", context=context):
             try:
@@ -121,7 +127,7 @@
                     refusal.outcome = Outcome.UNKNOWN
                 raise
 
-    async def _async_attempt_whole(
+    async def _async_attempt_response(
         self, exchange: Exchange, row: Endpoint
     ) -> WholeAnswer:
         with self._start_exchange_span(exchange, row) as span:
@@ -136,13 +142,13 @@
         self._table.note_success(row.name)
         return answer
 
-    async def async_stream(
+    async def async_relay_stream(
         self, request: web.Request, exchange: Exchange
     ) -> web.StreamResponse:
-        """Stream an answer to the caller, going on elsewhere where that is safe.
+        """Stream a response to the caller, resuming at other endpoints where safe.
 
-        The status line leaves with the first event, so that everything before
-        it can still be refused in the usual form.
+        The status line is sent with the first event, so that failures before it
+        still get a regular error response.
         """
         response = web.StreamResponse(
             headers={HEADER_REQUEST_ID: exchange.waiting.request_id}
@@ -157,16 +163,16 @@
                 return response
             except (EndpointUnreachable, EndpointRefused, EndpointFailed) as error:
                 may_have_run |= isinstance(error, EndpointFailed)
-                self._note_failure(exchange, row, error)
+                self._record_failure(exchange, row, error)
                 if isinstance(error, EndpointRefused) and not stream.events:
-                    # What was begun goes on with the weights that it began with.
-                    await self._dispatcher.async_renew(exchange.waiting)
+                    # A stream that has started is resumed with the same model version.
+                    await self._dispatcher.async_refresh_artifacts(exchange.waiting)
                 refusal = self._retry_refusal(exchange, error, may_have_run)
             except Refusal as error:
                 refusal = error
             if refusal is not None:
-                return await stream.async_end(refusal)
-        return await stream.async_end(self._give_up(may_have_run))
+                return await stream.async_fail(refusal)
+        return await stream.async_fail(self._attempts_exhausted(may_have_run))
 
     async def _async_attempt_stream(
         self, exchange: Exchange, row: Endpoint, stream: _CallerStream
@@ -218,7 +224,7 @@
             exchange.is_repeatable,
         )
 
-    def _note_failure(
+    def _record_failure(
         self, exchange: Exchange, row: Endpoint, error: ChutelinkError
     ) -> None:
         if not isinstance(error, EndpointRefused):
@@ -237,11 +243,11 @@
     def _retry_refusal(
         self, exchange: Exchange, error: ChutelinkError, may_have_run: bool
     ) -> Refusal | None:
-        """Return why there must be no other attempt, or None to try again."""
+        """Return the refusal to send, or None if another attempt is allowed."""
         if may_have_run and not exchange.is_repeatable:
             return unknown_outcome("the endpoint did not answer in full")
-        if not self._budget.take():
-            return self._give_up(may_have_run)
+        if not self._retry_budget.take():
+            return self._attempts_exhausted(may_have_run)
         self._core.metrics.retries.inc({"reason": type(error).__name__})
         return None
 
@@ -252,14 +258,14 @@
         if refusal is not None:
             raise refusal from error
 
-    def _give_up(self, may_have_run: bool) -> Refusal:
+    def _attempts_exhausted(self, may_have_run: bool) -> Refusal:
         if may_have_run:
             return unknown_outcome("no endpoint answered in full")
         return unavailable("no endpoint could be reached", 1.0)
 
 
 class _CallerStream:
-    """The caller's side of a stream: how much of it has been delivered."""
+    """Response stream to the caller; counts the events sent."""
 
     def __init__(
         self,
@@ -274,24 +280,24 @@
         self.is_finished = False
 
     async def async_send(self, event: bytes) -> None:
-        """Pass one event on; a caller that stops reading is dropped."""
+        """Send an event; a caller that stops reading is disconnected."""
         if not self._response.prepared:
             await self._response.prepare(self._request)
         self.events += 1
         await self._async_write(event)
 
     async def async_finish(self) -> None:
-        """Pass the end mark on."""
+        """Send the end marker."""
         if not self._response.prepared:
             await self._response.prepare(self._request)
         self.is_finished = True
         await self._async_write(STREAM_END)
 
-    async def async_end(self, refusal: Refusal) -> web.StreamResponse:
-        """End without the end mark, saying why."""
+    async def async_fail(self, refusal: Refusal) -> web.StreamResponse:
+        """End the stream with an error instead of the end marker."""
         if not self._response.prepared:
             return refusal.to_response()
-        # Part of the answer is out, so it was run in part at least.
+        # Part of the response was sent, so the request was at least partly run.
         refusal.outcome = Outcome.UNKNOWN
         await self._async_write(refusal.to_event())
         return self._response
@@ -307,7 +313,11 @@
 
 
 async def _async_check_status(response: aiohttp.ClientResponse, row: Endpoint) -> None:
-    """Tell an engine's refusal of the request from its own trouble."""
+    """Raise if the status is an error.
+
+    A server error is a failure of the endpoint. A client error is the engine's
+    refusal of the request, which is passed on to the caller.
+    """
     if response.status >= SERVER_ERROR:
         message = f"status {response.status}"
         raise EndpointFailed(message, step="endpoint.answer", peer=row.name)
--- a/chutelink/gateway/requests.py
+++ b/chutelink/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Check what callers send: key, name and body."""
+"""Parse and validate callers' requests: model name and body."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """One message of a chat."""
+    """Message of a chat completion request."""
 
     role: Annotated[str, Meta(min_length=1, max_length=64)]
     content: str
 
 
 class CompletionRequest(msgspec.Struct):
-    """The fields that the gateway reads; the others are passed on."""
+    """Fields that the gateway reads; unknown fields are forwarded to the engine."""
 
     model: Annotated[str, Meta(min_length=1, max_length=128)]
     messages: list[ChatMessage] | msgspec.UnsetType = msgspec.UNSET
@@ -36,7 +36,7 @@
     max_tokens: Annotated[int, Meta(ge=1, le=1_000_000)] = DEFAULT_MAX_TOKENS
 
     def text(self) -> str:
-        """Return the prompt as the engine sees it."""
+        """Return the text of the prompt."""
         if self.messages is not msgspec.UNSET:
             return "\n".join(message.content for message in self.messages)
         return "" if self.prompt is msgspec.UNSET else self.prompt
@@ -48,8 +48,8 @@
 def check_model(caller: CallerSpec, fleet: FleetSpec, name: str) -> None:
     """Refuse a model that the caller may not use or that is not declared.
 
-    A name outside the caller's own patterns gets the same answer whether it is
-    declared or not.
+    A name that the caller may not use gets the same response whether it is declared
+    or not, so that callers can't probe for other models.
     """
     if not caller.may_use_model(name):
         raise forbidden()
@@ -60,7 +60,7 @@
 async def async_read_body(
     request: web.Request, max_bytes: int, timeout_s: float
 ) -> bytes:
-    """Return the body; one too large or too slow is refused."""
+    """Return the request body; refuse one that is too large or arrives too slowly."""
     if request.content_length is not None and request.content_length > max_bytes:
         raise Refusal(413, f"body above {max_bytes} bytes")
     try:
@@ -72,7 +72,7 @@
 
 
 def decode_completion(body: bytes, *, is_chat: bool) -> CompletionRequest:
-    """Return a completion request; faults are refused with their place."""
+    """Return the completion request, or refuse it naming the error's position."""
     try:
         completion = _DECODER.decode(body)
     except msgspec.ValidationError as error:
@@ -89,12 +89,12 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return an estimate of the tokens in a prompt."""
+    """Return the estimated number of tokens in a prompt."""
     return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
 def hash_prefixes(text: str) -> tuple[str, ...]:
-    """Return the hashes of a prompt's block prefixes, shortest first.
+    """Return the hashes of a prompt's block-aligned prefixes, shortest first.
 
     Engines report the same hashes for the prefixes in their cache.
     """
--- a/chutelink/gateway/services.py
+++ b/chutelink/gateway/services.py
@@ -1,4 +1,4 @@
-"""Handlers of plain services; some of their calls may not be repeated."""
+"""Handlers of plain services, including calls that must not be repeated."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 from ..fleet import CallerSpec, FleetSpec, ServiceSpec
 from ..tables.endpoints import Endpoint
 from ..tracing import inject_context
-from .keyed import async_run_keyed
-from .parts import REQUEST_ID, GatewayParts
+from .components import REQUEST_ID, GatewayComponents
+from .idempotency import async_run_idempotent
 from .refusals import Refusal, forbidden, not_found, unavailable, unknown_outcome
 from .requests import async_read_body
 
 MAX_ATTEMPTS = 3
 RETRY_AFTER_S = 2.0
-_PASSED_HEADERS = ("Content-Type", "Accept", HEADER_IDEMPOTENCY_KEY)
+_FORWARDED_HEADERS = ("Content-Type", "Accept", HEADER_IDEMPOTENCY_KEY)
 
 
 class ServiceHandler:
-    """Passes calls on to plain services."""
+    """Forwards calls to plain services."""
 
-    def __init__(self, parts: GatewayParts) -> None:
-        self._parts = parts
+    def __init__(self, components: GatewayComponents) -> None:
+        self._components = components
 
     async def async_handle(
         self, request: web.Request, span: Span, caller: CallerSpec, fleet: FleetSpec
     ) -> web.StreamResponse:
-        """Serve one call of a plain service."""
+        """Serve a call to a plain service."""
         name = request.match_info["name"]
         if not caller.may_use_service(name):
             raise forbidden()
         service = fleet.services.get(name)
         if service is None:
             raise not_found(f"service {name}")
-        settings = self._parts.settings.gateway
+        settings = self._components.settings.gateway
         body = await async_read_body(
             request, settings.max_body_bytes, settings.idle_timeout_s
         )
-        self._parts.admit(caller)
-        call = _ServiceCall(self._parts, request, span, service, body)
+        self._components.admit(caller)
+        call = _ServiceCall(self._components, request, span, service, body)
         key = request.headers.get(HEADER_IDEMPOTENCY_KEY, "")
         if key and not call.is_repeatable:
             content = request.query_string.encode() + b"\0" + body
-            return await async_run_keyed(
-                self._parts,
+            return await async_run_idempotent(
+                self._components,
                 caller.name,
                 f"{request.method} {request.path}",
                 key,
@@ -65,17 +65,17 @@
 
 
 class _ServiceCall:
-    """One call, tried on one endpoint after another while that is safe."""
+    """A call that is tried at one endpoint after another while that is safe."""
 
     def __init__(
         self,
-        parts: GatewayParts,
+        components: GatewayComponents,
         request: web.Request,
         span: Span,
         service: ServiceSpec,
         body: bytes,
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._request = request
         self._span = span
         self._service = service
@@ -87,36 +87,42 @@
         )
 
     async def async_run(self) -> WholeAnswer:
-        """Return the answer, or refuse honestly."""
+        """Return the response.
+
+        Raises
+        ------
+        Refusal
+            NOT_RUN only if nothing was run, otherwise UNKNOWN.
+        """
         may_have_run = False
         candidates = self._candidates()
         for row in candidates[:MAX_ATTEMPTS]:
             try:
                 return await self._async_attempt(row)
             except (EndpointUnreachable, EndpointRefused) as error:
-                self._note_failure(row, error)
+                self._record_failure(row, error)
             except EndpointFailed as error:
                 may_have_run = True
-                self._note_failure(row, error)
+                self._record_failure(row, error)
                 if not self.is_repeatable:
                     title = "the service did not answer in full"
                     raise unknown_outcome(title) from error
-            if not self._parts.budget.take():
+            if not self._components.retry_budget.take():
                 break
-            self._parts.core.metrics.retries.inc({"reason": "service"})
-        raise self._give_up(may_have_run)
+            self._components.core.metrics.retries.inc({"reason": "service"})
+        raise self._attempts_exhausted(may_have_run)
 
     def _candidates(self) -> list[Endpoint]:
-        now_s = self._parts.core.clock()
-        rows = self._parts.endpoints.rows
-        found = [
+        now_s = self._components.core.clock()
+        rows = self._components.endpoints.rows
+        available = [
             rows[name]
             for name in self._service.endpoints
             if name in rows and rows[name].takes_new_work
         ]
-        own_domain = self._parts.core.daemon.failure_domain
+        own_domain = self._components.core.daemon.failure_domain
         return sorted(
-            found,
+            available,
             key=lambda row: (
                 row.excluded_until_s > now_s,
                 row.inflight,
@@ -129,7 +135,7 @@
         path = "/" + request.match_info["tail"]
         if request.query_string:
             path += "?" + request.query_string
-        with self._parts.core.tracer.start_as_current_span(
+        with self._components.core.tracer.start_as_current_span(
             "endpoint.exchange",
             context=set_span_in_context(self._span),
             attributes={"endpoint": row.name},
@@ -144,25 +150,25 @@
                     self._service.timeout_s,
                     self.is_repeatable,
                 )
-                answer = await self._parts.client.async_exchange(row.spec, call)
+                answer = await self._components.client.async_exchange(row.spec, call)
             finally:
                 row.inflight -= 1
-        self._parts.endpoints.note_success(row.name)
+        self._components.endpoints.note_success(row.name)
         return answer
 
     def _headers(self, span: Span) -> dict[str, str]:
         headers = {
             name: self._request.headers[name]
-            for name in _PASSED_HEADERS
+            for name in _FORWARDED_HEADERS
             if name in self._request.headers
         }
         headers[HEADER_REQUEST_ID] = self.request_id
         inject_context(span, headers)
         return headers
 
-    def _note_failure(self, row: Endpoint, error: Exception) -> None:
-        self._parts.endpoints.note_failure(row.name, self._parts.core.clock())
-        self._parts.core.events.warning(
+    def _record_failure(self, row: Endpoint, error: Exception) -> None:
+        self._components.endpoints.note_failure(row.name, self._components.core.clock())
+        self._components.core.events.warning(
             "service_call_failed",
             request=self.request_id,
             endpoint=row.name,
@@ -170,7 +176,7 @@
             error=error,
         )
 
-    def _give_up(self, may_have_run: bool) -> Refusal:
+    def _attempts_exhausted(self, may_have_run: bool) -> Refusal:
         if may_have_run:
             return unknown_outcome("no endpoint of the service answered in full")
         return unavailable("no endpoint of the service is there", RETRY_AFTER_S)
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Which version of a model a request asks for."""
+"""Tests of the model version that the dispatcher selects for a request."""
 
 from __future__ import annotations
 
@@ -62,8 +62,11 @@
     )
 
 
-def test_a_request_that_was_not_run_asks_for_the_newer_version():
-    """Its endpoint had just unloaded the older one; another has the newer."""
+def test_request_not_run_is_updated_to_newer_version():
+    """Guard against refusing a request whose endpoint has just unloaded its version.
+
+    A newer version is loaded at another endpoint, which must get the request.
+    """
 
     async def async_test():
         older, newer = (parse_fleet(text).unwrap() for text in (FLEET, NEWER))
@@ -82,17 +85,17 @@
         request.dispatched = asyncio.get_running_loop().create_future()
         with pytest.raises(Refusal):
             await dispatcher.async_acquire(request)
-        dispatcher.renew(request)
+        dispatcher.refresh_artifacts(request)
         assert (await dispatcher.async_acquire(request)).name == "f"
         assert [a.version for a in request.artifacts] == ["2"]
 
     asyncio.run(async_test())
 
 
-class MovedModel:
-    """A model whose old version is at one endpoint, and then a new one at another.
+class RelocatedModel:
+    """Model whose new version is loaded at another endpoint than the old one.
 
-    The gateway learns of neither change until it polls.
+    The gateway learns of both changes only when it polls the endpoints.
     """
 
     def __init__(self) -> None:
@@ -102,7 +105,7 @@
         self.table.note_report("e", report("1"), 100.0, 100.0)
         self.table.note_report("f", report(), 100.0, 100.0)
         self.dispatcher = Dispatcher(make_core(), self.table, 10, 5.0)
-        self.dispatcher.async_refresh = self.async_refresh
+        self.dispatcher.async_refresh_reports = self.async_refresh
         self.dispatcher.sync(self.newer)
 
     async def async_refresh(self, limit_s: float) -> None:
@@ -111,46 +114,49 @@
         self.table.note_report("f", report("2"), 101.0, 101.0)
 
 
-def test_a_request_for_a_model_that_has_moved_finds_it():
-    """It was refused where the model was known to be unloaded, not where it was."""
+def test_request_finds_relocated_model():
+    """Guard against refusing a request before its model's new endpoint reports.
+
+    The last reports say that the model was unloaded, but not where it is loaded now.
+    """
 
     async def async_test():
-        moved = MovedModel()
-        moved.table.note_report("e", report(), 100.5, 100.5)
-        request = make_request(moved.dispatcher, moved.newer)
-        assert (await moved.dispatcher.async_acquire(request)).name == "f"
+        relocated = RelocatedModel()
+        relocated.table.note_report("e", report(), 100.5, 100.5)
+        request = make_request(relocated.dispatcher, relocated.newer)
+        assert (await relocated.dispatcher.async_acquire(request)).name == "f"
 
     asyncio.run(async_test())
 
 
-def test_a_request_that_an_old_holder_refused_finds_the_new_one():
+def test_request_refused_by_former_holder_finds_new_holder():
     async def async_test():
-        moved = MovedModel()
-        request = make_request(moved.dispatcher, moved.newer)
-        assert (await moved.dispatcher.async_acquire(request)).name == "e"
-        moved.dispatcher.release("e")
+        relocated = RelocatedModel()
+        request = make_request(relocated.dispatcher, relocated.newer)
+        assert (await relocated.dispatcher.async_acquire(request)).name == "e"
+        relocated.dispatcher.release("e")
         request.excluded = frozenset({"e"})
         request.dispatched = asyncio.get_running_loop().create_future()
-        await moved.dispatcher.async_renew(request)
-        assert (await moved.dispatcher.async_acquire(request)).name == "f"
+        await relocated.dispatcher.async_refresh_artifacts(request)
+        assert (await relocated.dispatcher.async_acquire(request)).name == "f"
 
     asyncio.run(async_test())
 
 
-def test_a_request_that_waits_for_a_slot_follows_its_model():
+def test_request_waiting_for_slot_follows_relocated_model():
     async def async_test():
-        moved = MovedModel()
-        slots = moved.table.rows["e"].spec.slots
+        relocated = RelocatedModel()
+        slots = relocated.table.rows["e"].spec.slots
         for _ in range(slots):
-            await moved.dispatcher.async_acquire(
-                make_request(moved.dispatcher, moved.newer)
+            await relocated.dispatcher.async_acquire(
+                make_request(relocated.dispatcher, relocated.newer)
             )
-        request = make_request(moved.dispatcher, moved.newer)
-        waiting = asyncio.ensure_future(moved.dispatcher.async_acquire(request))
+        request = make_request(relocated.dispatcher, relocated.newer)
+        waiting = asyncio.ensure_future(relocated.dispatcher.async_acquire(request))
         await asyncio.sleep(0.01)
         assert not waiting.done()
-        moved.table.note_report("e", report(), 100.5, 100.5)
-        moved.dispatcher.tick("e")
+        relocated.table.note_report("e", report(), 100.5, 100.5)
+        relocated.dispatcher.dispatch_waiting("e")
         assert (await waiting).name == "f"
 
     asyncio.run(async_test())
