--- a/chutelink/gateway/app.py
+++ b/chutelink/gateway/app.py
@@ -64,8 +64,8 @@
     def is_ready(self) -> bool:
         """Return whether the fleet is known and each endpoint was polled once."""
         rows = self.endpoints.rows.values()
-        is_asked = all(row.report is not None or row.report_failures for row in rows)
-        return super().is_ready() and is_asked
+        is_polled = all(row.report is not None or row.report_failures for row in rows)
+        return super().is_ready() and is_polled
 
     def on_fleet(self) -> None:
         """Apply the callers and policies of the active fleet."""
--- a/chutelink/gateway/claims.py
+++ b/chutelink/gateway/claims.py
@@ -1,7 +1,7 @@
 """Idempotency claims: one table row per key, committed in batches.
 
 A request with an idempotency key is dispatched only after its claim row is
-committed, so each key runs at most once across all gateways.
+committed, so each key's request runs at most once across all gateways.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
     body: bytes
 
 
-class _Pending(msgspec.Struct, eq=False):
+class _PendingClaim(msgspec.Struct, eq=False):
     """Claim waiting for its batch to be committed."""
 
     key: str
@@ -124,7 +124,7 @@
         self._flush_s = flush_s
         self._wait_s = wait_s
         self._is_gone = is_gone
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingClaim] = []
         self._pending_added = asyncio.Event()
         self._settle_tasks: set[asyncio.Task] = set()
         self._abandoned_attempts: set[AttemptId] = set()
@@ -160,7 +160,7 @@
         raise unavailable("the key is being claimed elsewhere", 1.0)
 
     async def _async_insert(self, key: str, version: int, row: ClaimRow) -> int:
-        pending = _Pending(
+        pending = _PendingClaim(
             key, version, row, asyncio.get_running_loop().create_future()
         )
         self._pending.append(pending)
@@ -174,7 +174,7 @@
             ) from error
         except WriteOutcomeUnknown as error:
             # The request is never dispatched, but its row may have been written and
-            # must not block the key.
+            # must not keep the key claimed.
             self._abandoned_attempts.add(row.attempt)
             self._settle_as(Claim(key, version, row), ClaimStatus.NOT_RUN)
             self._count_result("reply_lost")
@@ -318,10 +318,10 @@
                 batch, self._pending = self._next_batch()
                 await self._async_flush(batch)
 
-    def _next_batch(self) -> tuple[list[_Pending], list[_Pending]]:
+    def _next_batch(self) -> tuple[list[_PendingClaim], list[_PendingClaim]]:
         """Return a batch with each key at most once, and the remaining claims."""
-        batch: dict[str, _Pending] = {}
-        remaining: list[_Pending] = []
+        batch: dict[str, _PendingClaim] = {}
+        remaining: list[_PendingClaim] = []
         for pending in self._pending:
             if pending.committed.done():
                 continue
@@ -331,7 +331,7 @@
                 batch[pending.key] = pending
         return list(batch.values()), remaining
 
-    async def _async_flush(self, batch: list[_Pending]) -> None:
+    async def _async_flush(self, batch: list[_PendingClaim]) -> None:
         while batch:
             checks = [Check(p.key, p.version) for p in batch]
             writes = [Write(p.key, msgspec.to_builtins(p.row)) for p in batch]
@@ -353,14 +353,14 @@
         self._core.metrics.claims.inc({"result": result})
 
 
-def _set_exception(pending: _Pending, error: Exception) -> None:
+def _set_exception(pending: _PendingClaim, error: Exception) -> None:
     if not pending.committed.done():
         pending.committed.set_exception(error)
 
 
 def _fail_conflicting(
-    batch: list[_Pending], conflict: TransactionConflict
-) -> list[_Pending]:
+    batch: list[_PendingClaim], conflict: TransactionConflict
+) -> list[_PendingClaim]:
     """Fail the claim whose row has changed; return the others to be committed again.
 
     All claims fail if the conflicting key is in none of them.
--- a/chutelink/gateway/dispatcher.py
+++ b/chutelink/gateway/dispatcher.py
@@ -20,7 +20,7 @@
 from .refusals import Refusal, unavailable
 
 TYPICAL_LOAD_S = 5.0
-"""``Retry-After`` for a model that is not loaded."""
+"""``Retry-After`` for a model that is not loaded: a typical load time."""
 MIN_WAIT_S = 0.001
 REPORT_WAIT_S = 0.1
 """How long a request waits for new reports if none lists its model as loaded."""
@@ -98,7 +98,7 @@
         for row in self._table.engines():
             if not row.takes_new_work:
                 continue
-            loaded = tuple(_latest_loaded_version(row, each) for each in declared)
+            loaded = tuple(_loaded_version(row, each) for each in declared)
             if None not in loaded:
                 return loaded
         return declared
@@ -107,7 +107,8 @@
         """Update the artifacts of a request that was not run.
 
         Its version may just have been unloaded while a newer one is loaded at
-        another endpoint.
+        another endpoint. Endpoints that were excluded for the old artifacts may be
+        used again.
         """
         if self._fleet is None:
             return
@@ -277,7 +278,7 @@
     """Return without new reports; the default until a monitor is connected."""
 
 
-def _latest_loaded_version(row: Endpoint, artifact: Artifact) -> Artifact | None:
-    """Return the greatest loaded version of an artifact, or None."""
+def _loaded_version(row: Endpoint, artifact: Artifact) -> Artifact | None:
+    """Return a loaded version of an artifact, whichever it is, or None."""
     versions = [a for a in row.loaded if a.name == artifact.name]
     return max(versions, default=None)
--- a/chutelink/gateway/http.py
+++ b/chutelink/gateway/http.py
@@ -62,13 +62,15 @@
         completions = CompletionHandler(self._components)
         services = ServiceHandler(self._components)
         add = app.router.add_route
-        add("GET", "/v1/addresses", self._wrap(self._async_addresses))
-        add("GET", "/v1/models", self._wrap(self._async_models))
-        add("POST", PATH_CHAT, self._wrap(completions.async_handle))
-        add("POST", PATH_COMPLETIONS, self._wrap(completions.async_handle))
-        add("*", "/services/{name}/{tail:.*}", self._wrap(services.async_handle))
+        add("GET", "/v1/addresses", self._make_handler(self._async_addresses))
+        add("GET", "/v1/models", self._make_handler(self._async_models))
+        add("POST", PATH_CHAT, self._make_handler(completions.async_handle))
+        add("POST", PATH_COMPLETIONS, self._make_handler(completions.async_handle))
+        add(
+            "*", "/services/{name}/{tail:.*}", self._make_handler(services.async_handle)
+        )
 
-    def _wrap(self, handler: Handler):
+    def _make_handler(self, handler: Handler):
         async def async_handle(request: web.Request) -> web.StreamResponse:
             started_s = self._components.core.clock()
             return await self._async_serve(handler, request, started_s)
--- a/chutelink/gateway/refusals.py
+++ b/chutelink/gateway/refusals.py
@@ -19,7 +19,7 @@
 
 
 class Refusal(Exception):
-    """A request ends with an error response of the gateway itself.
+    """A request ends with an error response instead of an endpoint's response.
 
     Parameters
     ----------
--- a/chutelink/gateway/requests.py
+++ b/chutelink/gateway/requests.py
@@ -27,7 +27,7 @@
 
 
 class CompletionRequest(msgspec.Struct):
-    """Fields that the gateway reads; unknown fields are forwarded to the engine."""
+    """Fields that the gateway reads; the body is forwarded with all its fields."""
 
     model: Annotated[str, Meta(min_length=1, max_length=128)]
     messages: list[ChatMessage] | msgspec.UnsetType = msgspec.UNSET
@@ -36,7 +36,7 @@
     max_tokens: Annotated[int, Meta(ge=1, le=1_000_000)] = DEFAULT_MAX_TOKENS
 
     def text(self) -> str:
-        """Return the text of the prompt."""
+        """Return the text of the prompt as the engine builds it."""
         if self.messages is not msgspec.UNSET:
             return "\n".join(message.content for message in self.messages)
         return "" if self.prompt is msgspec.UNSET else self.prompt
@@ -49,7 +49,7 @@
     """Refuse a model that the caller may not use or that is not declared.
 
     A name that the caller may not use gets the same response whether it is declared
-    or not, so that callers can't probe for other models.
+    or not.
     """
     if not caller.may_use_model(name):
         raise forbidden()
