--- a/chutelink/gateway/dispatcher.py
+++ b/chutelink/gateway/dispatcher.py
@@ -279,6 +279,6 @@
 
 
 def _loaded_version(row: Endpoint, artifact: Artifact) -> Artifact | None:
-    """Return a loaded version of an artifact, whichever it is, or None."""
+    """Return the loaded version of an artifact that sorts last, or None."""
     versions = [a for a in row.loaded if a.name == artifact.name]
     return max(versions, default=None)
--- a/chutelink/gateway/refusals.py
+++ b/chutelink/gateway/refusals.py
@@ -66,8 +66,8 @@
     def to_response(self, *, has_fractions: bool = False) -> web.Response:
         """Return the HTTP response for the caller.
 
-        ``has_fractions`` sends ``Retry-After`` with fractions of a second, for
-        callers that accept them.
+        ``Retry-After`` is in whole seconds, rounded up, unless the caller accepts
+        fractions of a second.
         """
         headers = {HEADER_OUTCOME: self.outcome.value}
         if self.outcome is Outcome.NOT_RUN:
