--- a/chutelink/learning/durations.py
+++ b/chutelink/learning/durations.py
@@ -4,7 +4,7 @@
 
 from ..ids import ModelName
 
-STEP = 0.1
+SMOOTHING_FACTOR = 0.1
 """Share of an error that a mean takes over: it follows some ten streams."""
 
 
@@ -22,9 +22,9 @@
     def note(self, model: ModelName, took_s: float) -> None:
         """Learn from a stream that ended."""
         known_s = self._models_s.get(model, self._mean_s or took_s)
-        self._models_s[model] = known_s + STEP * (took_s - known_s)
+        self._models_s[model] = known_s + SMOOTHING_FACTOR * (took_s - known_s)
         before_s = self._mean_s or took_s
-        self._mean_s = before_s + STEP * (took_s - before_s)
+        self._mean_s = before_s + SMOOTHING_FACTOR * (took_s - before_s)
 
     def mean_s(self, model: ModelName) -> float:
         """Return how long a stream of a model takes after its first event."""
--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -8,17 +8,17 @@
 
 from ..ids import EndpointId
 
-AVERAGE_S = 3.0
+FAILURE_DECAY_S = 3.0
 """Time constant of the share of failures."""
-FAILURES_TO_CLOSE = 3
-FIRST_PAUSE_S = 0.4
-MAX_PAUSE_S = 3.0
-UNREACHABLE_PAUSE_S = 0.3
+FAILURES_BEFORE_BACKOFF = 3
+FIRST_BACKOFF_S = 0.4
+MAX_BACKOFF_S = 3.0
+FIRST_UNREACHABLE_BACKOFF_S = 0.3
 """First pause after an endpoint took no connection; a crashed one stays away."""
-MAX_UNREACHABLE_PAUSE_S = 2.0
-PAUSE_AVERAGE_S = 12.0
+MAX_UNREACHABLE_BACKOFF_S = 2.0
+STREAM_DECAY_S = 12.0
 """Time constant of the share of streams with long pauses; speeds do not change."""
-PAUSE_PRIOR = 3.0
+PRIOR_STREAMS = 3.0
 """Streams without long pauses that every endpoint is credited with."""
 TYPICAL_SMOOTHING = 0.1
 DEFAULT_TYPICAL_S = 0.05
@@ -42,7 +42,7 @@
 
     def decay(self, now_s: float) -> None:
         """Fade what was seen earlier."""
-        factor = math.exp(-max(0.0, now_s - self.updated_s) / AVERAGE_S)
+        factor = math.exp(-max(0.0, now_s - self.updated_s) / FAILURE_DECAY_S)
         self.good = max(1.0, self.good * factor)
         self.bad *= factor
         self.updated_s = now_s
@@ -69,10 +69,10 @@
         row = self._row(endpoint, now_s)
         row.bad += 1.0
         row.in_a_row += 1
-        if row.in_a_row >= FAILURES_TO_CLOSE:
-            doublings = min(row.in_a_row - FAILURES_TO_CLOSE, 4)
-            pause_s = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2**doublings)
-            row.closed_until_s = now_s + pause_s
+        if row.in_a_row >= FAILURES_BEFORE_BACKOFF:
+            doublings = min(row.in_a_row - FAILURES_BEFORE_BACKOFF, 4)
+            backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+            row.closed_until_s = now_s + backoff_s
 
     def note_streams(
         self, endpoint: EndpointId, streams: int, paused: int, now_s: float
@@ -80,7 +80,7 @@
         """Count streams that ended, and those of them with a pause that is too long."""
         row = self._row(endpoint, now_s)
         elapsed_s = max(0.0, now_s - row.streams_s)
-        factor = math.exp(-elapsed_s / PAUSE_AVERAGE_S)
+        factor = math.exp(-elapsed_s / STREAM_DECAY_S)
         row.streams = row.streams * factor + streams
         row.paused = row.paused * factor + paused
         row.streams_s = now_s
@@ -88,15 +88,15 @@
     def paused_share(self, endpoint: EndpointId) -> float:
         """Return the share of recent streams whose pauses were too long."""
         row = self._rows.get(endpoint)
-        return 0.0 if row is None else row.paused / (row.streams + PAUSE_PRIOR)
+        return 0.0 if row is None else row.paused / (row.streams + PRIOR_STREAMS)
 
     def note_unreachable(self, endpoint: EndpointId, now_s: float) -> None:
         """Count that an endpoint took no connection; it gets nothing for a while."""
         self.note_failure(endpoint, now_s)
         row = self._row(endpoint, now_s)
-        pause_s = UNREACHABLE_PAUSE_S * 2 ** min(row.unreachable, 4)
+        backoff_s = FIRST_UNREACHABLE_BACKOFF_S * 2 ** min(row.unreachable, 4)
         row.unreachable += 1
-        row.away_until_s = now_s + min(MAX_UNREACHABLE_PAUSE_S, pause_s)
+        row.away_until_s = now_s + min(MAX_UNREACHABLE_BACKOFF_S, backoff_s)
 
     def is_reachable(self, endpoint: EndpointId, now_s: float) -> bool:
         """Return whether it is worth trying to connect."""
--- a/chutelink/learning/otherloads.py
+++ b/chutelink/learning/otherloads.py
@@ -8,7 +8,7 @@
 from ..entry.news import EndpointLoad
 from ..ids import DaemonId
 
-SILENT_DAEMON_S = 2.0
+DAEMON_TIMEOUT_S = 2.0
 """What a daemon said of its load counts for so long; it speaks every 0.2 s."""
 
 
@@ -16,15 +16,15 @@
     """The loads that daemons told, and what they have sent since."""
 
     def __init__(self) -> None:
-        self._told: dict[DaemonId, list[EndpointLoad]] = {}
+        self._reported: dict[DaemonId, list[EndpointLoad]] = {}
         self._sent_since: dict[DaemonId, list[EndpointLoad]] = {}
-        self._heard_s: dict[DaemonId, float] = {}
+        self._reported_s: dict[DaemonId, float] = {}
 
     def take(self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float) -> None:
         """Replace what a daemon has under way."""
-        self._told[daemon] = loads
+        self._reported[daemon] = loads
         self._sent_since.pop(daemon, None)
-        self._heard_s[daemon] = now_s
+        self._reported_s[daemon] = now_s
 
     def take_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
         """Add a request that a daemon sent since it told of its load."""
@@ -32,13 +32,17 @@
 
     def forget_silent(self, now_s: float) -> bool:
         """Drop daemons that have fallen silent; return whether there were any."""
-        silent = [d for d, t in self._heard_s.items() if now_s - t > SILENT_DAEMON_S]
+        silent = [
+            d for d, t in self._reported_s.items() if now_s - t > DAEMON_TIMEOUT_S
+        ]
         for daemon in silent:
-            del self._heard_s[daemon]
-            del self._told[daemon]
+            del self._reported_s[daemon]
+            del self._reported[daemon]
             self._sent_since.pop(daemon, None)
         return bool(silent)
 
     def loads(self) -> Iterator[EndpointLoad]:
         """Return all loads."""
-        return chain.from_iterable((*self._told.values(), *self._sent_since.values()))
+        return chain.from_iterable(
+            (*self._reported.values(), *self._sent_since.values())
+        )
--- a/chutelink/learning/prefixes.py
+++ b/chutelink/learning/prefixes.py
@@ -8,9 +8,9 @@
 from ..entry.dialect import PromptPart
 from ..ids import AdapterName, EndpointId, ModelName
 
-MAX_BEGINNINGS = 400
+MAX_PREFIXES = 400
 """Kept for each endpoint; its memory holds some 40 prompts with their parts."""
-VALID_S = 20.0
+PREFIX_TTL_S = 20.0
 """After this a beginning has most likely given way to others."""
 
 
@@ -40,7 +40,7 @@
         for value in chain:
             seen[value] = now_s
             seen.move_to_end(value)
-        while len(seen) > MAX_BEGINNINGS:
+        while len(seen) > MAX_PREFIXES:
             seen.popitem(last=False)
 
     def cached_parts(
@@ -51,7 +51,7 @@
         if seen is None:
             return 0
         for index, value in enumerate(chain):
-            if now_s - seen.get(value, float("-inf")) > VALID_S:
+            if now_s - seen.get(value, float("-inf")) > PREFIX_TTL_S:
                 return index
         return len(chain)
 
--- a/chutelink/learning/processes.py
+++ b/chutelink/learning/processes.py
@@ -4,7 +4,7 @@
 
 from ..ids import EndpointId
 
-MAX_KEPT = 1000
+MAX_ENDPOINTS = 1000
 """Most processes remembered; the rows of those that leave are soon removed for good."""
 
 
@@ -18,7 +18,7 @@
         """Remember a process of an endpoint, in place of an earlier one."""
         self._born_ms.pop(endpoint, None)
         self._born_ms[endpoint] = born_ms
-        if len(self._born_ms) > MAX_KEPT:
+        if len(self._born_ms) > MAX_ENDPOINTS:
             del self._born_ms[next(iter(self._born_ms))]
 
     def has(self, endpoint: EndpointId, born_ms: int) -> bool:
--- a/chutelink/learning/reading.py
+++ b/chutelink/learning/reading.py
@@ -13,13 +13,13 @@
 
 from ..ids import EndpointId
 
-READ_SHARE = 0.7
+MAX_PREFILL_SHARE = 0.7
 """Share of the longest allowed pause in which an engine may read prompts.
 
 The rest is for the tokens of the event that is waited for. More makes streams pause,
 less makes prompts wait for nothing.
 """
-KEPT_S = 2.0
+RETENTION_S = 2.0
 """Longest pause that any route allows; what was sent before that is forgotten."""
 
 
@@ -40,7 +40,7 @@
         """Take in that a prompt was sent."""
         sent = self._sent.setdefault(endpoint, deque())
         sent.append(SentPrompt(now_s, read_s))
-        while now_s - sent[0].at_s > KEPT_S:
+        while now_s - sent[0].at_s > RETENTION_S:
             sent.popleft()
 
     def room_in_s(
@@ -57,7 +57,9 @@
             for prompt in self._sent.get(endpoint, ())
             if now_s - prompt.at_s < max_pause_s
         ]
-        excess_s = sum(p.read_s for p in recent) + read_s - READ_SHARE * max_pause_s
+        excess_s = (
+            sum(p.read_s for p in recent) + read_s - MAX_PREFILL_SHARE * max_pause_s
+        )
         wait_s = 0.0
         for prompt in recent:
             if excess_s <= 0:
--- a/chutelink/peers/broadcasts.py
+++ b/chutelink/peers/broadcasts.py
@@ -5,7 +5,7 @@
 from ..ids import BootId, DaemonId
 from .messages import Broadcast
 
-WINDOW = 256
+SEQUENCE_WINDOW = 256
 """How far behind the newest a message may arrive; links reorder by a few."""
 
 
@@ -18,7 +18,7 @@
         self.seen: set[int] = set()
 
 
-class BroadcastLog:
+class BroadcastHistory:
     """Sequence numbers seen of each daemon's latest process."""
 
     def __init__(self) -> None:
@@ -30,16 +30,19 @@
         self._sequence += 1
         return self._sequence
 
-    def is_new(self, news: Broadcast) -> bool:
+    def mark_seen(self, news: Broadcast) -> bool:
         """Note a message; return whether it was not seen before."""
         origin = self._origins.get(news.origin)
         if origin is None or origin.boot_id != news.boot_id:
             origin = self._origins[news.origin] = _Origin(news.boot_id)
-        if news.sequence in origin.seen or news.sequence <= origin.highest - WINDOW:
+        if (
+            news.sequence in origin.seen
+            or news.sequence <= origin.highest - SEQUENCE_WINDOW
+        ):
             return False
         origin.seen.add(news.sequence)
         origin.highest = max(origin.highest, news.sequence)
-        if len(origin.seen) > 2 * WINDOW:
-            oldest = origin.highest - WINDOW
+        if len(origin.seen) > 2 * SEQUENCE_WINDOW:
+            oldest = origin.highest - SEQUENCE_WINDOW
             origin.seen = {number for number in origin.seen if number > oldest}
         return True
--- a/chutelink/peers/dialing.py
+++ b/chutelink/peers/dialing.py
@@ -9,7 +9,7 @@
 from ..settings import PeersSection
 from .transport import ConnectionHandler, PeerConnection, PeerTransport
 
-LOST_MEMBER_RETRY_S = 2.0
+REDIAL_DELAY_S = 2.0
 SEED_DIALS = 3
 
 
@@ -52,7 +52,7 @@
         """Take peers that the VM list names beside those of the settings."""
         self._seeds = set(self._settings.seeds) | addresses
 
-    def is_reached(self, address: str) -> bool:
+    def is_reachable(self, address: str) -> bool:
         """Return whether the last dial of an address did not fail."""
         return address not in self._unreachable
 
@@ -86,7 +86,7 @@
         for task in self._dialing.values():
             task.cancel()
 
-    def _async_reached(self, address: str) -> ConnectionHandler:
+    def _make_connection_handler(self, address: str) -> ConnectionHandler:
         async def async_handle(connection: PeerConnection) -> None:
             self._unreachable.discard(address)
             await self._async_run(connection)
@@ -95,11 +95,13 @@
 
     async def _async_dial(self, address: str) -> None:
         try:
-            await self._transport.async_dial(address, self._async_reached(address))
+            await self._transport.async_dial(
+                address, self._make_connection_handler(address)
+            )
         except OSError as error:
             self._unreachable.add(address)
             self._core.events.debug("peer_dial_failed", peer=address, error=error)
         finally:
-            pause_s = LOST_MEMBER_RETRY_S * self._core.rng.uniform(0.5, 1.0)
+            pause_s = REDIAL_DELAY_S * self._core.rng.uniform(0.5, 1.0)
             self._retry_s[address] = self._core.clock() + pause_s
             self._dialing.pop(address, None)
--- a/chutelink/peers/spreading.py
+++ b/chutelink/peers/dissemination.py
@@ -7,16 +7,23 @@
 
 from ..ids import DaemonId
 from ..tables.members import Member, MemberTable
-from .broadcasts import BroadcastLog
+from .broadcasts import BroadcastHistory
 from .link import Link
-from .messages import Broadcast, Direct, MemberNews, Message, encode_message, kind_of
+from .messages import (
+    Broadcast,
+    Direct,
+    MemberUpdate,
+    Message,
+    encode_message,
+    message_kind,
+)
 from .topology import Topology
 
-MEMBER_NEWS_DELAY_S = 0.02
+MEMBER_UPDATE_DELAY_S = 0.02
 """News of members is gathered for so long: many start or end together."""
 
 
-class Spreader:
+class Disseminator:
     """Sends broadcasts and news of members, and forwards those of others once.
 
     Parameters
@@ -42,11 +49,11 @@
         self._links = links
         self._hubs_per_domain = hubs_per_domain
         self._on_members_changed = on_members_changed
-        self._log = BroadcastLog()
+        self._history = BroadcastHistory()
         self._topology: Topology | None = None
         self._topology_changes = -1
-        self._member_news: dict[DaemonId, Member] = {}
-        self._found_here: set[DaemonId] = set()
+        self._pending_updates: dict[DaemonId, Member] = {}
+        self._local_update_ids: set[DaemonId] = set()
 
     @property
     def topology(self) -> Topology:
@@ -61,7 +68,7 @@
     def broadcast(self, body: bytes, topic: str) -> None:
         """Tell all daemons something; hubs forward it."""
         own = self._table.own
-        sequence = self._log.next_sequence()
+        sequence = self._history.next_sequence()
         self.send_own(Broadcast(own.id, own.boot_id, sequence, body, topic))
 
     def send_to(self, members: set[DaemonId], body: bytes, topic: str) -> None:
@@ -70,12 +77,12 @@
 
     def take(self, news: Broadcast, source: Link) -> bool:
         """Forward a broadcast; return whether it is received for the first time."""
-        if news.origin == self._table.own.id or not self._log.is_new(news):
+        if news.origin == self._table.own.id or not self._history.mark_seen(news):
             return False
-        self.forward_from(news.origin, news, source)
+        self.forward(news.origin, news, source)
         return True
 
-    def forward_from(self, origin: DaemonId, message: Message, source: Link) -> None:
+    def forward(self, origin: DaemonId, message: Message, source: Link) -> None:
         """Forward a message from another daemon that is received for the first time."""
         targets = self._broadcast_targets(origin)
         served_by_others = {
@@ -102,39 +109,39 @@
     def _send(self, message: Message, targets: set[DaemonId]) -> None:
         """Send to each of some linked members once, encoded once for all."""
         data: bytes | None = None
-        told: set[DaemonId] = set()
+        sent_to: set[DaemonId] = set()
         for link in self._links:
-            if link.member is None or link.member.id in told:
+            if link.member is None or link.member.id in sent_to:
                 continue
             if link.member.id not in targets:
                 continue
-            told.add(link.member.id)
+            sent_to.add(link.member.id)
             data = encode_message(message) if data is None else data
-            link.send_encoded(data, kind_of(message))
+            link.send_encoded(data, message_kind(message))
 
-    def spread_member(self, member: Member, *, is_local: bool) -> None:
+    def send_member_update(self, member: Member, *, is_local: bool) -> None:
         """Tell the peers of a change of a member, with others that come soon."""
-        if not self._member_news:
+        if not self._pending_updates:
             loop = asyncio.get_running_loop()
-            loop.call_later(MEMBER_NEWS_DELAY_S, self.flush_members)
-        self._member_news[member.id] = member
+            loop.call_later(MEMBER_UPDATE_DELAY_S, self.flush_member_updates)
+        self._pending_updates[member.id] = member
         if is_local:
-            self._found_here.add(member.id)
+            self._local_update_ids.add(member.id)
 
-    def flush_members(self) -> None:
+    def flush_member_updates(self) -> None:
         """Send the news of members that were gathered."""
-        if not self._member_news:
+        if not self._pending_updates:
             return
-        gathered, self._member_news = self._member_news, {}
-        found_here, self._found_here = self._found_here, set()
+        gathered, self._pending_updates = self._pending_updates, {}
+        local_ids, self._local_update_ids = self._local_update_ids, set()
         # Once for all of them: at a start each daemon hears of all others.
         self._on_members_changed()
         linked = self._linked()
         by_targets: dict[frozenset[DaemonId], list[Member]] = {}
         for member in gathered.values():
-            targets = self.topology.member_news_targets(
-                member, linked, is_local=member.id in found_here
+            targets = self.topology.member_update_targets(
+                member, linked, is_local=member.id in local_ids
             )
             by_targets.setdefault(frozenset(targets), []).append(member)
         for targets, members in by_targets.items():
-            self._send(MemberNews(members), targets)
+            self._send(MemberUpdate(members), targets)
--- a/chutelink/peers/link.py
+++ b/chutelink/peers/link.py
@@ -6,7 +6,7 @@
 
 from ..ids import ConfigVersion, DaemonId
 from ..tables.members import Member
-from .messages import Message, encode_message, kind_of
+from .messages import Message, encode_message, message_kind
 from .traffic import Direction, TrafficMeter
 from .transport import PeerConnection
 
@@ -33,18 +33,18 @@
         self._own_domain = own.failure_domain
         self._traffic = traffic
         self.member: Member | None = None
-        self.heard_s = 0.0
+        self.last_received_s = 0.0
         self.opened_s = 0.0
         self.is_wanted = True
         """Whether this side still needs it."""
-        self.peer_wants = True
+        self.is_wanted_by_peer = True
         self.config_version = ConfigVersion(0)
         self.linked: frozenset[DaemonId] = frozenset()
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_MESSAGES)
 
     def send(self, message: Message) -> None:
         """Queue a message; a peer that does not keep up loses the link."""
-        self.send_encoded(encode_message(message), kind_of(message))
+        self.send_encoded(encode_message(message), message_kind(message))
 
     def send_encoded(self, data: bytes, kind: str) -> None:
         """Queue a message that was encoded already."""
@@ -56,7 +56,7 @@
 
     def note_received(self, message: Message, size_bytes: int) -> None:
         """Count a message of the peer."""
-        self._note(kind_of(message), Direction.RECEIVED, size_bytes)
+        self._note(message_kind(message), Direction.RECEIVED, size_bytes)
 
     def _note(self, kind: str, direction: Direction, size_bytes: int) -> None:
         """Count a message; that of an unknown peer may have crossed domains."""
--- a/chutelink/peers/upkeep.py
+++ b/chutelink/peers/link_manager.py
@@ -7,19 +7,19 @@
 from ..settings import PeersSection
 from ..tables.members import Member, MemberState, MemberTable
 from .dialing import Dialer
+from .dissemination import Disseminator
 from .link import Link
-from .spreading import Spreader
 
-UNWANTED_S = 3.0
+MIN_LINK_AGE_S = 3.0
 """How long a link is kept at least: membership settles within some seconds."""
-LATE_DIAL_S = 1.0
+DIAL_GRACE_S = 1.0
 """How long a daemon waits for a neighbour that should open their link itself."""
-SETTLE_S = 0.6
+MEMBERSHIP_SETTLE_S = 0.6
 """How long after a daemon was first heard of links to those that serve are opened."""
-LINKABLE = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
+LINKABLE_STATES = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
 
 
-class LinkKeeper:
+class LinkManager:
     """Brings the open links in line with the topology, tick by tick.
 
     Parameters
@@ -45,44 +45,44 @@
         table: MemberTable,
         links: set[Link],
         dialer: Dialer,
-        spreader: Spreader,
+        disseminator: Disseminator,
     ) -> None:
         self._core = core
         self._settings = settings
         self._table = table
         self._links = links
         self._dialer = dialer
-        self._spreader = spreader
+        self._disseminator = disseminator
         self.direct: set[DaemonId] = set()
         self._missing_since_s: dict[DaemonId, float] = {}
         self._started_s = core.clock()
 
-    def note_lost(self, link: Link) -> None:
+    def note_link_lost(self, link: Link) -> None:
         """Dial the peer of a link that has ended without waiting for it to dial."""
         if link.member is not None:
             self._missing_since_s[link.member.id] = float("-inf")
 
-    def note_news(self, member: Member) -> None:
+    def note_member_update(self, member: Member) -> None:
         """Dial a member that refutes before it is suspected of the same again."""
         if member.state in (MemberState.JOINING, MemberState.ALIVE):
             self._dialer.forget_failure(member.peer_address)
 
     def tick(self, now_s: float) -> None:
         """Drop, suspect, dial and close what is due."""
-        self._drop_silent(now_s)
+        self._abort_silent_links(now_s)
         neighbours = self._neighbours()
         linked = {link.member.id for link in self._links if link.member is not None}
         self._suspect_unreachable(neighbours, linked, now_s)
         self._expire_suspects(now_s)
         self._dial_missing(neighbours, linked, now_s)
-        self._close_unwanted(neighbours, now_s)
+        self._close_unneeded(neighbours, now_s)
 
     def _neighbours(self) -> list[Member]:
-        return self._spreader.topology.neighbours
+        return self._disseminator.topology.neighbours
 
-    def _drop_silent(self, now_s: float) -> None:
+    def _abort_silent_links(self, now_s: float) -> None:
         for link in list(self._links):
-            if now_s - link.heard_s > self._settings.peer_timeout_s:
+            if now_s - link.last_received_s > self._settings.peer_timeout_s:
                 link.connection.abort()
 
     def _suspect_unreachable(
@@ -90,24 +90,24 @@
     ) -> None:
         """Suspect a neighbour whose link is gone and can't be opened again."""
         for member in neighbours:
-            is_reached = self._dialer.is_reached(member.peer_address)
-            if member.id in linked or is_reached:
+            is_reachable = self._dialer.is_reachable(member.peer_address)
+            if member.id in linked or is_reachable:
                 continue
             news = self._table.suspect(member.id, now_s)
             if news is not None:
-                self._spreader.spread_member(news, is_local=True)
+                self._disseminator.send_member_update(news, is_local=True)
 
     def _expire_suspects(self, now_s: float) -> None:
         for member in self._table.expire_suspects(now_s, self._settings.suspicion_s):
             self._core.events.warning("member_down", member=member.id)
-            self._spreader.spread_member(member, is_local=True)
+            self._disseminator.send_member_update(member, is_local=True)
 
     def _direct_members(self) -> list[Member]:
         """Return the members that links of their own are wanted to."""
         rows = self._table.rows
         found = [rows[name] for name in self.direct if name in rows]
         own_id = self._table.own.id
-        return [m for m in found if m.id != own_id and m.state in LINKABLE]
+        return [m for m in found if m.id != own_id and m.state in LINKABLE_STATES]
 
     def _dial_missing(
         self, neighbours: list[Member], linked: set[DaemonId], now_s: float
@@ -115,43 +115,43 @@
         wanted: set[str] = set()
         # Of the first members that a daemon finds when a fleet starts it would take
         # most to serve, and link to all of them.
-        if now_s - self._table.grew_s > SETTLE_S:
+        if now_s - self._table.grew_s > MEMBERSHIP_SETTLE_S:
             direct = self._direct_members()
             wanted |= {m.peer_address for m in direct if m.id not in linked}
-        wanted |= self._due_neighbours(neighbours, linked, now_s)
-        known = self._spreader.topology.addresses
+        wanted |= self._addresses_to_dial(neighbours, linked, now_s)
+        known = self._disseminator.topology.addresses
         wanted |= self._dialer.pick_seeds(known, is_linked=bool(linked))
         linked_addresses = {
             link.member.peer_address for link in self._links if link.member
         }
         self._dialer.dial(wanted - linked_addresses, now_s)
 
-    def _due_neighbours(
+    def _addresses_to_dial(
         self, neighbours: list[Member], linked: set[DaemonId], now_s: float
     ) -> set[str]:
         """Return the addresses of missing neighbours that it is time to dial."""
-        topology = self._spreader.topology
+        topology = self._disseminator.topology
         since_s = self._missing_since_s
         missing = [member for member in neighbours if member.id not in linked]
         self._missing_since_s = {m.id: since_s.get(m.id, now_s) for m in missing}
         return {
             member.peer_address
             for member in missing
-            if topology.is_dialler(member)
-            or now_s - self._missing_since_s[member.id] > LATE_DIAL_S
-            or self._precedes(member, now_s)
+            if topology.should_dial(member)
+            or now_s - self._missing_since_s[member.id] > DIAL_GRACE_S
+            or self._started_before(member, now_s)
         }
 
-    def _precedes(self, member: Member, now_s: float) -> bool:
+    def _started_before(self, member: Member, now_s: float) -> bool:
         """Return whether a neighbour was there before this daemon, which just started.
 
         It may have lost all its links, and still be dialling the process before this
         one.
         """
-        is_new = now_s - self._started_s < LATE_DIAL_S
+        is_new = now_s - self._started_s < DIAL_GRACE_S
         return is_new and member.state is MemberState.ALIVE
 
-    def _close_unwanted(self, neighbours: list[Member], now_s: float) -> None:
+    def _close_unneeded(self, neighbours: list[Member], now_s: float) -> None:
         """Close the links that neither side needs any more.
 
         Each daemon that is found while a fleet starts changes who the neighbours are,
@@ -162,6 +162,6 @@
             if link.member is None:
                 continue
             link.is_wanted = link.member.id in wanted
-            is_settled = now_s - link.opened_s > UNWANTED_S
-            if is_settled and not link.is_wanted and not link.peer_wants:
+            is_settled = now_s - link.opened_s > MIN_LINK_AGE_S
+            if is_settled and not link.is_wanted and not link.is_wanted_by_peer:
                 link.connection.close()
--- a/chutelink/peers/mesh.py
+++ b/chutelink/peers/mesh.py
@@ -20,7 +20,9 @@
 from ..tables.members import Member, MemberState, MemberTable
 from ..tables.queues import QueueTable
 from .dialing import Dialer
+from .dissemination import Disseminator
 from .link import Link
+from .link_manager import LinkManager
 from .messages import (
     Broadcast,
     ConfigBody,
@@ -28,21 +30,19 @@
     Direct,
     Heartbeat,
     Hello,
-    MemberNews,
+    MemberUpdate,
     Message,
     QueueNews,
     decode_message,
     encode_message,
-    kind_of,
+    message_kind,
 )
 from .silence import PeerSilence
-from .spreading import Spreader
 from .traffic import TrafficMeter
 from .transport import PeerConnection, PeerTransport, WebsocketTransport
-from .upkeep import LinkKeeper
 
-GOODBYE_S = 0.05
-SPREAD = 0.3
+LEAVE_FLUSH_S = 0.05
+HEARTBEAT_JITTER = 0.3
 
 
 class Mesh(Service):
@@ -74,8 +74,8 @@
         self._links: set[Link] = set()
         self.queues = QueueTable()
         self._traffic = TrafficMeter()
-        self._counted_changes = -1
-        self._spreader = Spreader(
+        self._counted_table_changes = -1
+        self._disseminator = Disseminator(
             table,
             self._links,
             settings.hubs_per_domain,
@@ -91,8 +91,8 @@
         self._dialer = Dialer(
             core, settings, own_address, self._transport, self._async_run
         )
-        self._keeper = LinkKeeper(
-            core, settings, table, self._links, self._dialer, self._spreader
+        self._link_manager = LinkManager(
+            core, settings, table, self._links, self._dialer, self._disseminator
         )
         self._silence = PeerSilence(settings.peer_timeout_s)
         self.on_broadcast: Callable[[Broadcast], None] = lambda news: None
@@ -107,11 +107,11 @@
     @property
     def direct(self) -> set[DaemonId]:
         """The members that this daemon wants links of its own with."""
-        return self._keeper.direct
+        return self._link_manager.direct
 
     @direct.setter
     def direct(self, members: set[DaemonId]) -> None:
-        self._keeper.direct = members
+        self._link_manager.direct = members
 
     async def on_start(self) -> None:
         """Listen for peers."""
@@ -119,9 +119,9 @@
 
     async def on_stop(self) -> None:
         """Say goodbye to the peers and close all links."""
-        self._spread_own_state(MemberState.LEFT)
-        self._spreader.flush_members()
-        await asyncio.sleep(GOODBYE_S)
+        self._announce_own_state(MemberState.LEFT)
+        self._disseminator.flush_member_updates()
+        await asyncio.sleep(LEAVE_FLUSH_S)
         self._dialer.cancel()
         await self._transport.async_stop()
 
@@ -131,15 +131,15 @@
 
     def announce_alive(self) -> None:
         """Tell the peers that this daemon does its work from now on."""
-        self._spread_own_state(MemberState.ALIVE)
+        self._announce_own_state(MemberState.ALIVE)
 
     def announce_leaving(self) -> None:
         """Tell the peers that this daemon takes no new work soon."""
-        self._spread_own_state(MemberState.LEAVING)
+        self._announce_own_state(MemberState.LEAVING)
 
-    def _spread_own_state(self, state: MemberState) -> None:
+    def _announce_own_state(self, state: MemberState) -> None:
         member = self.table.set_own_state(state)
-        self._spreader.spread_member(member, is_local=True)
+        self._disseminator.send_member_update(member, is_local=True)
 
     def announce_config(self) -> None:
         """Tell the peers at once of a newer version."""
@@ -169,45 +169,45 @@
     async def _async_run(self, connection: PeerConnection) -> None:
         """Serve a connection that either side has opened until it ends."""
         link = Link(connection, self.table.own, self._traffic)
-        link.heard_s = link.opened_s = self._core.clock()
+        link.last_received_s = link.opened_s = self._core.clock()
         members = list(self.table.rows.values())
         link.send(Hello(self.table.own, members, self.config_version()))
         self._links.add(link)
         writer = asyncio.ensure_future(link.async_write_loop())
         try:
             async for data in link.connection:
-                link.heard_s = self._core.clock()
-                self._silence.note_heard(link.heard_s)
+                link.last_received_s = self._core.clock()
+                self._silence.note_heard(link.last_received_s)
                 message = decode_message(data, self._peer_name(link))
                 link.note_received(message, len(data))
-                self._take(link, message)
+                self._handle_message(link, message)
         except PeerMessageInvalid as error:
             self._core.events.warning("peer_message_invalid", error=error)
         finally:
             self._links.discard(link)
-            self._keeper.note_lost(link)
+            self._link_manager.note_link_lost(link)
             writer.cancel()
             self._core.metrics.peer_links.set({}, len(self._links))
 
     def _peer_name(self, link: Link) -> str:
         return link.member.id if link.member is not None else "unknown"
 
-    def _take(self, link: Link, message: Message) -> None:
+    def _handle_message(self, link: Link, message: Message) -> None:
         if isinstance(message, Hello):
             link.member = message.member
             self._core.metrics.peer_links.set({}, len(self._links))
-            self._take_members(link, [message.member, *message.members])
-            self._take_version(link, message.config_version)
+            self._handle_members(link, [message.member, *message.members])
+            self._handle_config_version(link, message.config_version)
         elif isinstance(message, Heartbeat):
             link.linked = frozenset(message.linked)
-            link.peer_wants = message.is_wanted
-            self._take_version(link, message.config_version)
-        elif isinstance(message, MemberNews):
-            self._take_members(link, message.members)
+            link.is_wanted_by_peer = message.is_wanted
+            self._handle_config_version(link, message.config_version)
+        elif isinstance(message, MemberUpdate):
+            self._handle_members(link, message.members)
         elif isinstance(message, QueueNews):
-            self._take_queue(message, link)
+            self._handle_queue_update(message, link)
         elif isinstance(message, Broadcast):
-            if self._spreader.take(message, link):
+            if self._disseminator.take(message, link):
                 self.on_broadcast(message)
         elif isinstance(message, Direct):
             if link.member is not None:
@@ -219,13 +219,13 @@
         elif isinstance(message, ConfigBody):
             self.on_config_body(message)
 
-    def _take_members(self, link: Link, members: list[Member]) -> None:
+    def _handle_members(self, link: Link, members: list[Member]) -> None:
         for member in members:
             news = self.table.merge(member, self._core.clock())
             if news is not None:
                 is_own = news.id == self.table.own.id
-                self._spreader.spread_member(news, is_local=is_own)
-                self._keeper.note_news(news)
+                self._disseminator.send_member_update(news, is_local=is_own)
+                self._link_manager.note_member_update(news)
 
     def publish_queue(
         self, waiting: dict[str, int], callers_per_s: dict[str, float]
@@ -240,25 +240,25 @@
             waiting,
             callers_per_s,
         )
-        self._take_queue(news, None)
+        self._handle_queue_update(news, None)
 
-    def _take_queue(self, news: QueueNews, source: Link | None) -> None:
+    def _handle_queue_update(self, news: QueueNews, source: Link | None) -> None:
         if not self.queues.merge(news, self._core.clock()):
             return
         if source is None:
-            self._spreader.send_own(news)
+            self._disseminator.send_own(news)
         else:
-            self._spreader.forward_from(news.gateway, news, source)
+            self._disseminator.forward(news.gateway, news, source)
 
     def broadcast(self, body: bytes, topic: str) -> None:
         """Tell all daemons something."""
-        self._spreader.broadcast(body, topic)
+        self._disseminator.broadcast(body, topic)
 
     def send_to(self, members: set[DaemonId], body: bytes, topic: str) -> None:
         """Tell some linked daemons, and nobody else."""
-        self._spreader.send_to(members, body, topic)
+        self._disseminator.send_to(members, body, topic)
 
-    def _take_version(self, link: Link, version: ConfigVersion) -> None:
+    def _handle_config_version(self, link: Link, version: ConfigVersion) -> None:
         link.config_version = version
         if version > self.config_version():
             self.on_config_version(version)
@@ -268,16 +268,18 @@
         while not self.should_stop:
             self._tick()
             pause_s = self._settings.heartbeat_interval_s
-            await self.sleep(pause_s * self._core.rng.uniform(1 - SPREAD, 1.0))
+            await self.sleep(
+                pause_s * self._core.rng.uniform(1 - HEARTBEAT_JITTER, 1.0)
+            )
 
     def _tick(self) -> None:
         now_s = self._core.clock()
-        self._keeper.tick(now_s)
+        self._link_manager.tick(now_s)
         self._send_heartbeats()
         self._traffic.export(self._core.metrics)
         self._traffic.log(self._core.events, now_s)
-        if self._counted_changes != self.table.changes:
-            self._counted_changes = self.table.changes
+        if self._counted_table_changes != self.table.changes:
+            self._counted_table_changes = self.table.changes
             self._count_members()
 
     def _count_members(self) -> None:
@@ -287,7 +289,7 @@
 
     def _send_heartbeats(self) -> None:
         # Only where all link to all does this keep news from being forwarded.
-        is_full = self._spreader.topology.is_full_mesh
+        is_full = self._disseminator.topology.is_full_mesh
         linked_ids = sorted(self.linked_members()) if is_full else []
         version = self.config_version()
         encoded: dict[bool, bytes] = {}
@@ -295,4 +297,4 @@
             if link.is_wanted not in encoded:
                 heartbeat = Heartbeat(version, linked_ids, link.is_wanted)
                 encoded[link.is_wanted] = encode_message(heartbeat)
-            link.send_encoded(encoded[link.is_wanted], kind_of(Heartbeat(version)))
+            link.send_encoded(encoded[link.is_wanted], message_kind(Heartbeat(version)))
--- a/chutelink/peers/messages.py
+++ b/chutelink/peers/messages.py
@@ -11,7 +11,7 @@
 from ..tables.members import Member
 from .packing import PLAIN, UNPACK_FAILURES, pack, unpack
 
-_CBOR_FAILURES = (
+_DECODE_ERRORS = (
     cbor2.CBORDecodeError,
     ValueError,
     TypeError,
@@ -43,7 +43,7 @@
     is_wanted: bool = True
 
 
-class MemberNews(msgspec.Struct, frozen=True, array_like=True, tag="members"):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, tag="members"):
     """Changes of members, passed on to every peer that may not know them."""
 
     members: list[Member]
@@ -100,7 +100,7 @@
 Message = (
     Hello
     | Heartbeat
-    | MemberNews
+    | MemberUpdate
     | QueueNews
     | ConfigRequest
     | ConfigBody
@@ -109,7 +109,7 @@
 )
 
 
-def kind_of(message: Message) -> str:
+def message_kind(message: Message) -> str:
     """Return the kind of a message, as metrics and logs name it."""
     if isinstance(message, Broadcast | Direct) and message.topic:
         return message.topic
@@ -120,7 +120,7 @@
     """Return a message as CBOR, compressed where that pays."""
     data = cbor2.dumps(msgspec.to_builtins(message))
     # Bodies of the others are compressed already, or too small.
-    return pack(data) if isinstance(message, Hello | MemberNews) else PLAIN + data
+    return pack(data) if isinstance(message, Hello | MemberUpdate) else PLAIN + data
 
 
 def decode_message(data: bytes | str, peer: str) -> Message:
@@ -136,5 +136,5 @@
         raise PeerMessageInvalid("not a binary message in size", step=step, peer=peer)
     try:
         return msgspec.convert(cbor2.loads(unpack(data)), Message)
-    except _CBOR_FAILURES as error:
+    except _DECODE_ERRORS as error:
         raise PeerMessageInvalid(str(error), step=step, peer=peer) from error
--- a/chutelink/peers/packing.py
+++ b/chutelink/peers/packing.py
@@ -33,8 +33,8 @@
     """
     if packed[:1] != COMPRESSED:
         return packed[1:]
-    inflater = zlib.decompressobj()
-    data = inflater.decompress(packed[1:], MAX_PEER_MESSAGE_BYTES)
-    if inflater.unconsumed_tail:
+    decompressor = zlib.decompressobj()
+    data = decompressor.decompress(packed[1:], MAX_PEER_MESSAGE_BYTES)
+    if decompressor.unconsumed_tail:
         raise ValueError("message too large")
     return data
--- a/chutelink/peers/topology.py
+++ b/chutelink/peers/topology.py
@@ -20,7 +20,7 @@
 """Up to so many others, all link to all: nothing has to be forwarded."""
 
 
-def _hub_order(member: Member) -> tuple[bool, float, DaemonId]:
+def _hub_sort_key(member: Member) -> tuple[bool, float, DaemonId]:
     """Order candidates: reachable ones first, then by the capacity of their VM."""
     return member.state is MemberState.SUSPECT, -member.capacity, member.id
 
@@ -45,7 +45,7 @@
         self._hubs_per_domain = hubs_per_domain
         self._others = {member.id: member for member in others}
         self.is_full_mesh = len(self._others) <= FULL_MESH_MEMBERS
-        self._plane: dict[DaemonId, int] = {}
+        self._planes: dict[DaemonId, int] = {}
         if not self.is_full_mesh:
             self._choose_hubs()
         self.neighbours = self._find_neighbours()
@@ -60,12 +60,12 @@
         for member in (*self._others.values(), self._own):
             by_domain[member.failure_domain].append(member)
         for members in by_domain.values():
-            hubs = sorted(members, key=_hub_order)[: self._hubs_per_domain]
-            self._plane |= {hub.id: plane for plane, hub in enumerate(hubs)}
+            hubs = sorted(members, key=_hub_sort_key)[: self._hubs_per_domain]
+            self._planes |= {hub.id: plane for plane, hub in enumerate(hubs)}
 
     def is_hub(self, daemon: DaemonId) -> bool:
         """Return whether a daemon forwards for its failure domain."""
-        return daemon in self._plane
+        return daemon in self._planes
 
     def _find_neighbours(self) -> list[Member]:
         if self.is_full_mesh:
@@ -78,7 +78,7 @@
             return is_near or self.is_hub(self._own.id)
         return is_near and self.is_hub(self._own.id)
 
-    def is_dialler(self, member: Member) -> bool:
+    def should_dial(self, member: Member) -> bool:
         """Return whether this daemon opens its link with a neighbour.
 
         Daemons dial their hubs, and of two hubs the lower id dials, so that a start of
@@ -113,13 +113,13 @@
         if origin is not None and origin.failure_domain != own_domain:
             return near
         planes = self._served_planes(linked)
-        far = {id for id in linked.keys() - near if self._plane.get(id) in planes}
+        far = {id for id in linked.keys() - near if self._planes.get(id) in planes}
         return near | far
 
     def _served_planes(self, linked: Mapping[DaemonId, Member]) -> set[int]:
         """Return the planes that only this hub serves for its failure domain."""
-        planes = {self._plane[self._own.id]}
-        for id, plane in self._plane.items():
+        planes = {self._planes[self._own.id]}
+        for id, plane in self._planes.items():
             member = self._others.get(id)
             if member is None or member.failure_domain != self._own.failure_domain:
                 continue
@@ -127,7 +127,7 @@
                 planes.add(plane)
         return planes
 
-    def member_news_targets(
+    def member_update_targets(
         self, subject: Member, linked: Mapping[DaemonId, Member], *, is_local: bool
     ) -> set[DaemonId]:
         """Return the linked peers that news of a member go to from here.
@@ -139,7 +139,7 @@
         if self.is_full_mesh or is_local:
             return set(linked)
         if not self.is_hub(self._own.id):
-            return linked.keys() - self._plane.keys()
+            return linked.keys() - self._planes.keys()
         own_domain = self._own.failure_domain
         if subject.failure_domain == own_domain:
             return set(linked)
--- a/chutelink/peers/traffic.py
+++ b/chutelink/peers/traffic.py
@@ -44,8 +44,10 @@
         self._pending: dict[tuple[str, Direction, Scope], _Volume] = defaultdict(
             _Volume
         )
-        self._logged: dict[tuple[str, Direction], _Volume] = defaultdict(_Volume)
-        self._logged_s: float | None = None
+        self._since_last_log: dict[tuple[str, Direction], _Volume] = defaultdict(
+            _Volume
+        )
+        self._last_log_s: float | None = None
 
     def note(
         self, kind: str, direction: Direction, size_bytes: int, *, is_remote: bool
@@ -64,22 +66,24 @@
             }
             metrics.peer_messages.add(labels, volume.messages)
             metrics.peer_bytes.add(labels, volume.size_bytes)
-            self._logged[kind, direction].add(volume.messages, volume.size_bytes)
+            self._since_last_log[kind, direction].add(
+                volume.messages, volume.size_bytes
+            )
         self._pending.clear()
 
     def log(self, events: EventLog, now_s: float) -> None:
         """Write what was exported since the last line, if a period has passed."""
-        if self._logged_s is None:
-            self._logged_s = now_s
-        period_s = now_s - self._logged_s
+        if self._last_log_s is None:
+            self._last_log_s = now_s
+        period_s = now_s - self._last_log_s
         if period_s < LOG_PERIOD_S:
             return
         fields = {
             f"{kind}_{direction.value}": f"{volume.messages}/{volume.size_bytes}"
             for (kind, direction), volume in sorted(
-                self._logged.items(), key=lambda item: -item[1].size_bytes
+                self._since_last_log.items(), key=lambda item: -item[1].size_bytes
             )
         }
         events.info("peer_traffic", period_s=period_s, **fields)
-        self._logged.clear()
-        self._logged_s = now_s
+        self._since_last_log.clear()
+        self._last_log_s = now_s
--- a/tests/learning/test_reading.py
+++ b/tests/learning/test_reading.py
@@ -7,13 +7,13 @@
 import pytest
 
 from chutelink.entry.news import PromptNews, decode_news, encode_news
-from chutelink.learning.reading import READ_SHARE, ReadingTable
+from chutelink.learning.reading import MAX_PREFILL_SHARE, ReadingTable
 
 from ..relaying.test_stream import expected, headers
 from ..relaying.world import SERVICES, async_world, make_config
 
 PAUSE_S = 0.25
-ROOM_S = READ_SHARE * PAUSE_S
+ROOM_S = MAX_PREFILL_SHARE * PAUSE_S
 
 
 def test_a_prompt_fits_beside_short_ones():
--- a/tests/peers/test_mesh.py
+++ b/tests/peers/test_mesh.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from bench.capacity_mesh import _make_mesh
-from chutelink.peers import upkeep
+from chutelink.peers import link_manager
 
 WAIT_S = 10.0
 
@@ -18,7 +18,7 @@
 
 def test_a_link_that_neither_side_needs_is_closed(monkeypatch):
     """Kept by one side that needs it; at a start neighbours change with each find."""
-    monkeypatch.setattr(upkeep, "UNWANTED_S", 0.1)
+    monkeypatch.setattr(link_manager, "MIN_LINK_AGE_S", 0.1)
 
     async def async_test():
         one, other = _make_mesh(0), _make_mesh(1)
@@ -26,10 +26,10 @@
             await one.start()
             await other.start()
             await async_until(lambda: one._links and other._links)
-            one._keeper._neighbours = list
+            one._link_manager._neighbours = list
             await asyncio.sleep(1.5)
             assert one._links and other._links
-            other._keeper._neighbours = list
+            other._link_manager._neighbours = list
             await async_until(lambda: not one._links and not other._links)
         finally:
             await one.stop()
--- a/tests/peers/test_topology.py
+++ b/tests/peers/test_topology.py
@@ -52,7 +52,7 @@
             for peer in view.neighbours:
                 if name in dead or peer.id in dead:
                     continue
-                self.dials[frozenset((name, peer.id))] += view.is_dialler(peer)
+                self.dials[frozenset((name, peer.id))] += view.should_dial(peer)
                 self.links[name][peer.id] = peer
                 self.links[peer.id][name] = self.by_id[name]
         self.alive = set(self.by_id) - set(dead)
@@ -85,7 +85,7 @@
     def tell_member(self, origin):
         return self.spread(
             origin,
-            lambda name: self.views[name].member_news_targets(
+            lambda name: self.views[name].member_update_targets(
                 self.by_id[origin], self.links[name], is_local=name == origin
             ),
         )
