--- a/chutelink/learning/__init__.py
+++ b/chutelink/learning/__init__.py
@@ -1,1 +1,1 @@
-"""What daemons learn of endpoints from the requests that they send."""
+"""Statistics on endpoints that daemons derive from the requests that they send."""
--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -1,4 +1,4 @@
-"""How endpoints have answered lately; nothing is asked only to find that out."""
+"""Passive health tracking of endpoints: no health checks are sent."""
 
 from __future__ import annotations
 
@@ -9,24 +9,27 @@
 from ..ids import EndpointId
 
 FAILURE_DECAY_S = 3.0
-"""Time constant of the share of failures."""
+"""Time constant of the exponential decay of successes and failures."""
 FAILURES_BEFORE_BACKOFF = 3
 FIRST_BACKOFF_S = 0.4
 MAX_BACKOFF_S = 3.0
 FIRST_UNREACHABLE_BACKOFF_S = 0.3
-"""First pause after an endpoint took no connection; a crashed one stays away."""
+"""First backoff after a failed connect; it grows, as a crashed endpoint stays away."""
 MAX_UNREACHABLE_BACKOFF_S = 2.0
 STREAM_DECAY_S = 12.0
-"""Time constant of the share of streams with long pauses; speeds do not change."""
+"""Time constant of the share of streams with long pauses.
+
+It is longer than for failures, as the speed of an endpoint does not change.
+"""
 PRIOR_STREAMS = 3.0
-"""Streams without long pauses that every endpoint is credited with."""
+"""Prior count of streams without long pauses, credited to every endpoint."""
 TYPICAL_SMOOTHING = 0.1
 DEFAULT_TYPICAL_S = 0.05
-"""Before an endpoint has answered: the usual time of a plain service."""
+"""Assumed until an endpoint has answered: typical of a service without models."""
 
 
 class _Health(msgspec.Struct):
-    """One endpoint's recent answers, with weights that fade."""
+    """Recent results of one endpoint, with weights that decay over time."""
 
     good: float = 1.0
     bad: float = 0.0
@@ -41,7 +44,7 @@
     streams_s: float = 0.0
 
     def decay(self, now_s: float) -> None:
-        """Fade what was seen earlier."""
+        """Decay the weights of earlier results."""
         factor = math.exp(-max(0.0, now_s - self.updated_s) / FAILURE_DECAY_S)
         self.good = max(1.0, self.good * factor)
         self.bad *= factor
@@ -49,13 +52,13 @@
 
 
 class HealthTable:
-    """Shares of failures by endpoint; several in a row close one for a while."""
+    """Failure rates by endpoint, with a backoff after consecutive failures."""
 
     def __init__(self) -> None:
         self._rows: dict[EndpointId, _Health] = {}
 
     def note_success(self, endpoint: EndpointId, now_s: float, took_s: float) -> None:
-        """Count an answer that came whole; ``took_s`` from sending it."""
+        """Record a complete response that took ``took_s`` from sending the request."""
         row = self._row(endpoint, now_s)
         row.good += 1.0
         row.in_a_row = 0
@@ -65,7 +68,7 @@
         row.typical_s += TYPICAL_SMOOTHING * (took_s - row.typical_s)
 
     def note_failure(self, endpoint: EndpointId, now_s: float) -> None:
-        """Count a failure; after a pause one request at a time tries again."""
+        """Record a failure; several in a row start a backoff that grows with each."""
         row = self._row(endpoint, now_s)
         row.bad += 1.0
         row.in_a_row += 1
@@ -77,7 +80,7 @@
     def note_streams(
         self, endpoint: EndpointId, streams: int, paused: int, now_s: float
     ) -> None:
-        """Count streams that ended, and those of them with a pause that is too long."""
+        """Record ended streams, and how many of them had a pause that was too long."""
         row = self._row(endpoint, now_s)
         elapsed_s = max(0.0, now_s - row.streams_s)
         factor = math.exp(-elapsed_s / STREAM_DECAY_S)
@@ -86,12 +89,12 @@
         row.streams_s = now_s
 
     def paused_share(self, endpoint: EndpointId) -> float:
-        """Return the share of recent streams whose pauses were too long."""
+        """Return the share of recent streams that had a pause that was too long."""
         row = self._rows.get(endpoint)
         return 0.0 if row is None else row.paused / (row.streams + PRIOR_STREAMS)
 
     def note_unreachable(self, endpoint: EndpointId, now_s: float) -> None:
-        """Count that an endpoint took no connection; it gets nothing for a while."""
+        """Record a failed connect and start a backoff without requests."""
         self.note_failure(endpoint, now_s)
         row = self._row(endpoint, now_s)
         backoff_s = FIRST_UNREACHABLE_BACKOFF_S * 2 ** min(row.unreachable, 4)
@@ -99,15 +102,15 @@
         row.away_until_s = now_s + min(MAX_UNREACHABLE_BACKOFF_S, backoff_s)
 
     def is_reachable(self, endpoint: EndpointId, now_s: float) -> bool:
-        """Return whether it is worth trying to connect."""
+        """Return whether an endpoint is outside its backoff after failed connects."""
         row = self._rows.get(endpoint)
         return row is None or now_s >= row.away_until_s
 
     def unreachable(self, now_s: float) -> list[EndpointId]:
-        """Return the endpoints that took no connection when tried just now.
+        """Return the endpoints in a backoff after a failed connect.
 
-        Who hears of one asks it for a report, which is charged for: so one that is
-        not tried any more is not told of again and again.
+        Daemons that are told of such an endpoint request a report from it, which is
+        charged for. An endpoint that is no longer tried is therefore not listed again.
         """
         return [
             name
@@ -116,12 +119,12 @@
         ]
 
     def is_open(self, endpoint: EndpointId, now_s: float) -> bool:
-        """Return whether requests may be sent."""
+        """Return whether an endpoint is outside its backoff after failures."""
         row = self._rows.get(endpoint)
         return row is None or now_s >= row.closed_until_s
 
     def failure_share(self, endpoint: EndpointId, now_s: float) -> float:
-        """Return the share of recent requests that failed."""
+        """Return the share of recent requests that failed, weighted by age."""
         row = self._rows.get(endpoint)
         if row is None:
             return 0.0
@@ -129,12 +132,12 @@
         return row.bad / (row.good + row.bad)
 
     def typical_s(self, endpoint: EndpointId) -> float:
-        """Return how long answers take."""
+        """Return how long an endpoint typically takes to answer."""
         row = self._rows.get(endpoint)
         return DEFAULT_TYPICAL_S if row is None else row.typical_s
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop an endpoint that is gone."""
+        """Remove an endpoint that no longer exists."""
         self._rows.pop(endpoint, None)
 
     def _row(self, endpoint: EndpointId, now_s: float) -> _Health:
--- a/chutelink/learning/otherloads.py
+++ b/chutelink/learning/otherloads.py
@@ -1,4 +1,4 @@
-"""What the other daemons have under way at endpoints, as each last told. Pure."""
+"""The requests of other daemons in progress at endpoints, as last reported. No I/O."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from ..ids import DaemonId
 
 DAEMON_TIMEOUT_S = 2.0
-"""What a daemon said of its load counts for so long; it speaks every 0.2 s."""
+"""How long a daemon's report is valid; one is sent every 0.2 s."""
 
 
 class OtherLoads:
-    """The loads that daemons told, and what they have sent since."""
+    """The loads that other daemons reported, and the requests they sent since."""
 
     def __init__(self) -> None:
         self._reported: dict[DaemonId, list[EndpointLoad]] = {}
@@ -21,28 +21,28 @@
         self._reported_s: dict[DaemonId, float] = {}
 
     def take(self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float) -> None:
-        """Replace what a daemon has under way."""
+        """Replace the loads of a daemon by a new report."""
         self._reported[daemon] = loads
         self._sent_since.pop(daemon, None)
         self._reported_s[daemon] = now_s
 
     def take_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
-        """Add a request that a daemon sent since it told of its load."""
+        """Add a request that a daemon sent since its last report."""
         self._sent_since.setdefault(daemon, []).append(load)
 
     def forget_silent(self, now_s: float) -> bool:
-        """Drop daemons that have fallen silent; return whether there were any."""
-        silent = [
+        """Remove daemons whose reports are too old; return whether there were any."""
+        expired = [
             d for d, t in self._reported_s.items() if now_s - t > DAEMON_TIMEOUT_S
         ]
-        for daemon in silent:
+        for daemon in expired:
             del self._reported_s[daemon]
             del self._reported[daemon]
             self._sent_since.pop(daemon, None)
-        return bool(silent)
+        return bool(expired)
 
     def loads(self) -> Iterator[EndpointLoad]:
-        """Return all loads."""
+        """Return the loads of all daemons."""
         return chain.from_iterable(
             (*self._reported.values(), *self._sent_since.values())
         )
--- a/chutelink/learning/prefixes.py
+++ b/chutelink/learning/prefixes.py
@@ -1,4 +1,4 @@
-"""Which beginnings of prompts endpoints have read lately."""
+"""Estimate of the prompt prefixes in the endpoints' prefix caches."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from ..ids import AdapterName, EndpointId, ModelName
 
 MAX_PREFIXES = 400
-"""Kept for each endpoint; its memory holds some 40 prompts with their parts."""
+"""Prefixes kept per endpoint, whose cache holds some 40 prompts with their parts."""
 PREFIX_TTL_S = 20.0
-"""After this a beginning has most likely given way to others."""
+"""After this time a prefix has most likely been evicted from the cache."""
 
 
 def hash_chain(
     model: ModelName, adapter: AdapterName, prompt: tuple[PromptPart, ...]
 ) -> tuple[int, ...]:
-    """Return a hash of each beginning of a prompt, for one model and adapter."""
+    """Return the hashes of all prefixes of a prompt, for one model and adapter."""
     value = zlib.crc32(f"{model}/{adapter}".encode())
     chain = []
     for part in prompt:
@@ -27,7 +27,7 @@
 
 
 class PrefixTable:
-    """Hashes of beginnings by endpoint, the least recently used ones dropped."""
+    """Hashes of prefixes by endpoint, with eviction of the least recently used."""
 
     def __init__(self) -> None:
         self._seen: dict[EndpointId, OrderedDict[int, float]] = {}
@@ -35,7 +35,7 @@
     def note(
         self, endpoint: EndpointId, chain: tuple[int, ...] | list[int], now_s: float
     ) -> None:
-        """Take in that an endpoint reads a prompt."""
+        """Record that a prompt was sent to an endpoint."""
         seen = self._seen.setdefault(endpoint, OrderedDict())
         for value in chain:
             seen[value] = now_s
@@ -46,7 +46,7 @@
     def cached_parts(
         self, endpoint: EndpointId, chain: tuple[int, ...], now_s: float
     ) -> int:
-        """Return how many parts from the beginning are most likely kept."""
+        """Return how many leading parts of a prompt are most likely cached."""
         seen = self._seen.get(endpoint)
         if seen is None:
             return 0
@@ -56,5 +56,5 @@
         return len(chain)
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop what an endpoint that is gone has read."""
+        """Remove an endpoint that no longer exists."""
         self._seen.pop(endpoint, None)
--- a/chutelink/learning/reading.py
+++ b/chutelink/learning/reading.py
@@ -1,8 +1,8 @@
-"""Prompts that endpoints were lately sent, so that streams there go on. Pure.
+"""Spacing of prompts, so that their prefill does not stall running streams. No I/O.
 
-An engine reads prompts between the tokens of the streams under way. Several prompts
-at once make a pause that is too long in all of these streams; the same prompts a
-little apart don't.
+An engine prefills prompts between the decode steps of the running streams. Several
+prompts at once pause all of these streams for too long; the same prompts a little
+apart don't.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 from ..ids import EndpointId
 
 MAX_PREFILL_SHARE = 0.7
-"""Share of the longest allowed pause in which an engine may read prompts.
+"""Share of the longest allowed pause that an engine may spend on prefill.
 
-The rest is for the tokens of the event that is waited for. More makes streams pause,
-less makes prompts wait for nothing.
+The rest is for decoding the tokens of the next event. A larger share pauses streams
+for too long, a smaller one delays prompts without need.
 """
 RETENTION_S = 2.0
-"""Longest pause that any route allows; what was sent before that is forgotten."""
+"""The longest pause that any route allows; older prompts are removed."""
 
 
 class SentPrompt(msgspec.Struct, frozen=True):
-    """A prompt that was sent, and how long it takes to read."""
+    """When a prompt was sent and how long its prefill takes."""
 
     at_s: float
     read_s: float
 
 
 class ReadingTable:
-    """Prompts by endpoint, of all daemons as far as they tell."""
+    """Recently sent prompts by endpoint, including those reported by other daemons."""
 
     def __init__(self) -> None:
         self._sent: dict[EndpointId, deque[SentPrompt]] = {}
 
     def note(self, endpoint: EndpointId, read_s: float, now_s: float) -> None:
-        """Take in that a prompt was sent."""
+        """Record that a prompt was sent."""
         sent = self._sent.setdefault(endpoint, deque())
         sent.append(SentPrompt(now_s, read_s))
         while now_s - sent[0].at_s > RETENTION_S:
@@ -46,9 +46,9 @@
     def room_in_s(
         self, endpoint: EndpointId, read_s: float, now_s: float, max_pause_s: float
     ) -> float:
-        """Return after what time a prompt lets streams there go on.
+        """Return the delay after which a prompt no longer stalls an endpoint's streams.
 
-        One that is longer by itself than what is allowed may go when none was sent.
+        A prompt that exceeds the limit by itself may be sent once no recent ones count.
         """
         if max_pause_s <= 0:
             return 0.0
@@ -69,5 +69,5 @@
         return wait_s
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop an endpoint that is gone."""
+        """Remove an endpoint that no longer exists."""
         self._sent.pop(endpoint, None)
--- a/chutelink/learning/speeds.py
+++ b/chutelink/learning/speeds.py
@@ -1,4 +1,4 @@
-"""How fast endpoints read the prompts of each model, learned from first events."""
+"""Prefill speeds of models and endpoints, learned from times to first event."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 from ..ids import EndpointId, ModelName
 
 BASE_PREFILL_TOKENS_PER_S = 38_000.0
-"""How fast prompts are read at factor 1; the factors are learned."""
+"""Prefill speed at factor 1; the factors are learned."""
 FIRST_EVENT_S = 0.03
-"""From the end of reading to the first event."""
+"""Time from the end of the prefill to the first event."""
 MODEL_SMOOTHING = 0.25
-"""Share of an error that a model's factor takes over; single times vary by half."""
+"""Weight of an error in a model's factor; single times vary by half."""
 ENDPOINT_SMOOTHING = 0.08
-"""The same for an endpoint's, which all its models have in common."""
+"""Weight of an error in an endpoint's factor, which all its models share."""
 MAX_LOG_ERROR = 0.7
-"""Largest error, as a logarithm, that one observation counts for."""
+"""Limit of the logarithmic error of a single observation."""
 MAX_FACTOR = 5.0
 MIN_TYPICAL_S = 0.001
-"""Where prompts are hardly read at all, their length makes no difference."""
+"""Lower bound of the typical prefill time: below it length makes no difference."""
 TYPICAL_SMOOTHING = 0.02
-"""Share by which the typical prompt follows each one: some fifty of them."""
+"""Weight of a prompt in the moving average, which covers about fifty prompts."""
 MIN_READ_S = 0.03
-"""Shorter reads say more about the network than about the endpoint."""
+"""Shorter prefill times depend more on the network than on the endpoint."""
 
 
 class SpeedTable:
-    """Factors by which models and endpoints take longer than factor 1 says.
+    """Slowdown factors of the prefill by model and by endpoint.
 
-    A model that was not seen yet is taken to be like others with weights of the
-    same size.
+    Factors are kept as logarithms. A model without observations is assumed to be like
+    the others with weights of the same size.
     """
 
     def __init__(self) -> None:
@@ -37,31 +37,35 @@
         self._model_log_factors: dict[ModelName, float] = {}
         self._endpoint_log_factors: dict[EndpointId, float] = {}
         self.typical_read_s = MIN_READ_S
-        """How long an ordinary prompt takes to read."""
+        """The prefill time of a typical prompt."""
 
     def note_prompt(self, read_s: float) -> None:
-        """Learn how long prompts take to read."""
+        """Update the typical prefill time with one prompt."""
         self.typical_read_s += TYPICAL_SMOOTHING * (read_s - self.typical_read_s)
         self.typical_read_s = max(self.typical_read_s, MIN_TYPICAL_S)
 
     def set_sizes(self, sizes_mb: dict[ModelName, float]) -> None:
-        """Take in how large the weights of the models are."""
+        """Set the sizes of the models' weights."""
         self._sizes_mb = sizes_mb
 
     def read_s(self, model: ModelName, tokens: int) -> float:
-        """Return how long an ordinary endpoint reads tokens of a prompt."""
+        """Return the prefill time of some tokens at an endpoint with factor 1."""
         return (
             tokens / BASE_PREFILL_TOKENS_PER_S * math.exp(self._model_log_factor(model))
         )
 
     def endpoint_factor(self, endpoint: EndpointId) -> float:
-        """Return how many times longer an endpoint takes than an ordinary one."""
+        """Return by what factor an endpoint's prefill time exceeds that at factor 1."""
         return math.exp(self._endpoint_log_factors.get(endpoint, 0.0))
 
     def note(
         self, model: ModelName, endpoint: EndpointId, expected_s: float, took_s: float
     ) -> None:
-        """Learn from a first event that was expected after some reading."""
+        """Update the factors with the observed time to a first event.
+
+        ``expected_s`` is the prefill time that the factors predicted, ``took_s`` the
+        time from the request to its first event.
+        """
         if expected_s < MIN_READ_S:
             return
         read_s = max(MIN_READ_S / 2, took_s - FIRST_EVENT_S)
@@ -76,7 +80,7 @@
         )
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop an endpoint that is gone."""
+        """Remove an endpoint that no longer exists."""
         self._endpoint_log_factors.pop(endpoint, None)
 
     def _model_log_factor(self, model: ModelName) -> float:
@@ -92,7 +96,7 @@
         return sum(same_size) / len(same_size) if same_size else 0.0
 
 
-def _clamp_log_factor(factor: float) -> float:
-    """Return the logarithm of a factor, kept within what is plausible."""
+def _clamp_log_factor(log_factor: float) -> float:
+    """Return the logarithm of a factor, limited to plausible values."""
     limit = math.log(MAX_FACTOR)
-    return max(-limit, min(limit, factor))
+    return max(-limit, min(limit, log_factor))
--- a/chutelink/peers/__init__.py
+++ b/chutelink/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between the system's own processes: websockets with CBOR."""
+"""Membership and messaging between daemons, as CBOR over websockets."""
--- a/chutelink/peers/dialing.py
+++ b/chutelink/peers/dialing.py
@@ -1,4 +1,4 @@
-"""Open links to peers, each address tried once at a time and not too often."""
+"""Opening of links to peers: one dial per address at a time, with a retry delay."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Dialer:
-    """Dials peers and seeds.
+    """Dials peers and seeds and remembers which addresses were unreachable.
 
     Parameters
     ----------
     core : Application
         The owner.
     settings : PeersSection
-        Seeds and the time limit of a dial.
+        The configured seeds.
     own_address : str
-        Never dialled.
+        This daemon's own address, which is never dialled.
     transport : PeerTransport
         Opens connections.
     async_run : callable
@@ -49,40 +49,41 @@
         self._unreachable: set[str] = set()
 
     def set_seeds(self, addresses: set[str]) -> None:
-        """Take peers that the VM list names beside those of the settings."""
+        """Set the seeds from the VM list, in addition to the configured ones."""
         self._seeds = set(self._settings.seeds) | addresses
 
     def is_reachable(self, address: str) -> bool:
-        """Return whether the last dial of an address did not fail."""
+        """Return whether the last dial of an address has not failed."""
         return address not in self._unreachable
 
     def forget_failure(self, address: str) -> None:
-        """Take it that an address can be reached, and dial it when it is wanted."""
+        """Treat an address as reachable, so that it can be dialled without delay."""
         if address in self._unreachable:
             self._unreachable.discard(address)
             self._retry_s.pop(address, None)
 
-    def pick_seeds(self, live: Collection[str], *, is_linked: bool) -> set[str]:
-        """Return seeds to dial: some while alone, else one that is not known to live.
+    def pick_seeds(self, known: Collection[str], *, is_linked: bool) -> set[str]:
+        """Return the seeds to dial, from those that are not known members.
 
-        The others are learned from whoever answers; dialling all of them would
-        make starts cost the square of the number of daemons.
+        These are ``SEED_DIALS`` random ones while there is no link, otherwise one. The
+        other members are learned from the peer that answers; if every daemon dialled
+        all seeds, the start of a fleet would cost the square of its size.
         """
-        missing = sorted(self._seeds.difference(live, {self._own_address}))
+        missing = sorted(self._seeds.difference(known, {self._own_address}))
         if not missing:
             return set()
         count = 1 if is_linked else SEED_DIALS
         return set(self._core.rng.sample(missing, min(count, len(missing))))
 
     def dial(self, addresses: set[str], now_s: float) -> None:
-        """Dial what is not being dialled and did not just fail or end."""
+        """Dial addresses, except those being dialled or within their retry delay."""
         for address in addresses - {self._own_address}:
             if address in self._dialing or now_s < self._retry_s.get(address, 0.0):
                 continue
             self._dialing[address] = asyncio.ensure_future(self._async_dial(address))
 
     def cancel(self) -> None:
-        """End all dials, and the links that came of them."""
+        """Cancel all dials and close the links that they opened."""
         for task in self._dialing.values():
             task.cancel()
 
@@ -102,6 +103,6 @@
             self._unreachable.add(address)
             self._core.events.debug("peer_dial_failed", peer=address, error=error)
         finally:
-            pause_s = REDIAL_DELAY_S * self._core.rng.uniform(0.5, 1.0)
-            self._retry_s[address] = self._core.clock() + pause_s
+            delay_s = REDIAL_DELAY_S * self._core.rng.uniform(0.5, 1.0)
+            self._retry_s[address] = self._core.clock() + delay_s
             self._dialing.pop(address, None)
--- a/chutelink/peers/dissemination.py
+++ b/chutelink/peers/dissemination.py
@@ -1,4 +1,4 @@
-"""Spread what daemons tell each other over the links."""
+"""Dissemination of broadcasts and member updates over the links."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from .topology import Topology
 
 MEMBER_UPDATE_DELAY_S = 0.02
-"""News of members is gathered for so long: many start or end together."""
+"""Member updates are batched for this long, as many daemons start or stop together."""
 
 
 class Disseminator:
-    """Sends broadcasts and news of members, and forwards those of others once.
+    """Sends broadcasts and member updates, and forwards those of others once.
 
     Parameters
     ----------
     table : MemberTable
-        Names this daemon.
+        The members, this daemon included.
     links : set
-        The open links, kept by their owner.
+        The open links; the caller adds and removes them.
     hubs_per_domain : int
-        How many daemons of a failure domain forward.
+        How many daemons of each failure domain forward messages.
     on_members_changed : callable
-        Called once for each batch of changes of members.
+        Called once for each batch of member updates.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
 
     @property
     def topology(self) -> Topology:
-        """The links between the members known now."""
+        """The topology of the currently known members."""
         if self._topology_changes != self._table.changes:
             self._topology_changes = self._table.changes
             self._topology = Topology(
@@ -66,35 +66,38 @@
         return self._topology
 
     def broadcast(self, body: bytes, topic: str) -> None:
-        """Tell all daemons something; hubs forward it."""
+        """Send a message to all daemons; hubs forward it."""
         own = self._table.own
         sequence = self._history.next_sequence()
-        self.send_own(Broadcast(own.id, own.boot_id, sequence, body, topic))
+        self.send_to_all(Broadcast(own.id, own.boot_id, sequence, body, topic))
 
     def send_to(self, members: set[DaemonId], body: bytes, topic: str) -> None:
-        """Tell some linked daemons, and nobody else."""
+        """Send a message to some linked daemons, without forwarding."""
         self._send(Direct(body, topic), members)
 
-    def take(self, news: Broadcast, source: Link) -> bool:
-        """Forward a broadcast; return whether it is received for the first time."""
-        if news.origin == self._table.own.id or not self._history.mark_seen(news):
+    def receive_broadcast(self, message: Broadcast, source: Link) -> bool:
+        """Forward a broadcast if it is new; return whether it is."""
+        if message.origin == self._table.own.id or not self._history.mark_seen(message):
             return False
-        self.forward(news.origin, news, source)
+        self.forward(message.origin, message, source)
         return True
 
     def forward(self, origin: DaemonId, message: Message, source: Link) -> None:
-        """Forward a message from another daemon that is received for the first time."""
+        """Forward a message of another daemon that was received for the first time.
+
+        Skips the link it came from and peers that are linked to its origin themselves.
+        """
         targets = self._broadcast_targets(origin)
-        served_by_others = {
+        reached_otherwise = {
             link.member.id
             for link in self._links
             if link.member is not None and origin in link.linked
         }
         if source.member is not None:
-            served_by_others.add(source.member.id)
-        self._send(message, targets - served_by_others - {origin})
+            reached_otherwise.add(source.member.id)
+        self._send(message, targets - reached_otherwise - {origin})
 
-    def send_own(self, message: Message) -> None:
+    def send_to_all(self, message: Message) -> None:
         """Send a message that hubs forward to all daemons."""
         self._send(message, self._broadcast_targets(self._table.own.id))
 
@@ -107,7 +110,7 @@
         return {member.id: member for member in members}
 
     def _send(self, message: Message, targets: set[DaemonId]) -> None:
-        """Send to each of some linked members once, encoded once for all."""
+        """Send a message once to each target, encoded a single time."""
         data: bytes | None = None
         sent_to: set[DaemonId] = set()
         for link in self._links:
@@ -120,7 +123,10 @@
             link.send_encoded(data, message_kind(message))
 
     def send_member_update(self, member: Member, *, is_local: bool) -> None:
-        """Tell the peers of a change of a member, with others that come soon."""
+        """Queue a changed member to be sent to the peers with the next batch.
+
+        ``is_local`` is set if this daemon itself detected the change.
+        """
         if not self._pending_updates:
             loop = asyncio.get_running_loop()
             loop.call_later(MEMBER_UPDATE_DELAY_S, self.flush_member_updates)
@@ -129,16 +135,16 @@
             self._local_update_ids.add(member.id)
 
     def flush_member_updates(self) -> None:
-        """Send the news of members that were gathered."""
+        """Send the batched member updates."""
         if not self._pending_updates:
             return
-        gathered, self._pending_updates = self._pending_updates, {}
+        batch, self._pending_updates = self._pending_updates, {}
         local_ids, self._local_update_ids = self._local_update_ids, set()
-        # Once for all of them: at a start each daemon hears of all others.
+        # Called once per batch: when a fleet starts, each daemon learns of all others.
         self._on_members_changed()
         linked = self._linked()
         by_targets: dict[frozenset[DaemonId], list[Member]] = {}
-        for member in gathered.values():
+        for member in batch.values():
             targets = self.topology.member_update_targets(
                 member, linked, is_local=member.id in local_ids
             )
--- a/chutelink/peers/link.py
+++ b/chutelink/peers/link.py
@@ -1,4 +1,4 @@
-"""One open connection to a peer."""
+"""An open connection to a peer, with its send queue and the peer's state."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Link:
-    """One open connection to a peer, whichever side opened it.
+    """An open connection to a peer, regardless of which side opened it.
 
     Parameters
     ----------
     connection : PeerConnection
-        What it is made of.
+        The underlying connection.
     own : Member
         This daemon.
     traffic : TrafficMeter
-        Counts what this link carries.
+        Counts the messages of this link.
     """
 
     def __init__(
@@ -36,18 +36,21 @@
         self.last_received_s = 0.0
         self.opened_s = 0.0
         self.is_wanted = True
-        """Whether this side still needs it."""
+        """Whether this daemon still needs the link."""
         self.is_wanted_by_peer = True
         self.config_version = ConfigVersion(0)
         self.linked: frozenset[DaemonId] = frozenset()
         self._queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_MESSAGES)
 
     def send(self, message: Message) -> None:
-        """Queue a message; a peer that does not keep up loses the link."""
+        """Queue a message.
+
+        The link is aborted if the peer reads too slowly and the queue is full.
+        """
         self.send_encoded(encode_message(message), message_kind(message))
 
     def send_encoded(self, data: bytes, kind: str) -> None:
-        """Queue a message that was encoded already."""
+        """Queue a message that is already encoded; see ``send``."""
         self._note(kind, Direction.SENT, len(data))
         try:
             self._queue.put_nowait(data)
@@ -55,17 +58,17 @@
             self.connection.abort()
 
     def note_received(self, message: Message, size_bytes: int) -> None:
-        """Count a message of the peer."""
+        """Count a message received from the peer."""
         self._note(message_kind(message), Direction.RECEIVED, size_bytes)
 
     def _note(self, kind: str, direction: Direction, size_bytes: int) -> None:
-        """Count a message; that of an unknown peer may have crossed domains."""
+        """Count a message; until the peer is known it counts as remote."""
         is_remote = self.member is None or (
             self.member.failure_domain != self._own_domain
         )
         self._traffic.note(kind, direction, size_bytes, is_remote=is_remote)
 
     async def async_write_loop(self) -> None:
-        """Send queued messages until the link ends."""
+        """Send queued messages until this task is cancelled."""
         while True:
             await self.connection.async_send(await self._queue.get())
--- a/chutelink/peers/link_manager.py
+++ b/chutelink/peers/link_manager.py
@@ -1,4 +1,4 @@
-"""Keep the links that are needed, open missing ones, suspect silent members."""
+"""Maintenance of links: opening, closing, and suspecting unreachable members."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from .link import Link
 
 MIN_LINK_AGE_S = 3.0
-"""How long a link is kept at least: membership settles within some seconds."""
+"""Links are kept at least this long, as membership settles within seconds."""
 DIAL_GRACE_S = 1.0
-"""How long a daemon waits for a neighbour that should open their link itself."""
+"""How long a daemon waits for the neighbour that should open their link."""
 MEMBERSHIP_SETTLE_S = 0.6
-"""How long after a daemon was first heard of links to those that serve are opened."""
+"""Direct links are opened once no new daemon was discovered for this long."""
 LINKABLE_STATES = (MemberState.JOINING, MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class LinkManager:
-    """Brings the open links in line with the topology, tick by tick.
+    """Brings the open links in line with the topology at each tick.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that this daemon runs.
     settings : PeersSection
-        How long a silence may be.
+        Timeouts of links and suspicions.
     table : MemberTable
         The members.
     links : set
-        The open links, kept by their owner.
+        The open links; the caller adds and removes them.
     dialer : Dialer
         Opens links.
     spreader : Spreader
-        Knows the topology, and tells the peers of suspects.
+        Provides the topology and sends member updates to the peers.
     """
 
     def __init__(
@@ -58,17 +58,17 @@
         self._started_s = core.clock()
 
     def note_link_lost(self, link: Link) -> None:
-        """Dial the peer of a link that has ended without waiting for it to dial."""
+        """Make the peer of a lost link due for dialling, whichever side should dial."""
         if link.member is not None:
             self._missing_since_s[link.member.id] = float("-inf")
 
     def note_member_update(self, member: Member) -> None:
-        """Dial a member that refutes before it is suspected of the same again."""
+        """Allow a member that refuted to be dialled before it is suspected again."""
         if member.state in (MemberState.JOINING, MemberState.ALIVE):
             self._dialer.forget_failure(member.peer_address)
 
     def tick(self, now_s: float) -> None:
-        """Drop, suspect, dial and close what is due."""
+        """Abort silent links, update suspicions, dial and close links as needed."""
         self._abort_silent_links(now_s)
         neighbours = self._neighbours()
         linked = {link.member.id for link in self._links if link.member is not None}
@@ -88,14 +88,14 @@
     def _suspect_unreachable(
         self, neighbours: list[Member], linked: set[DaemonId], now_s: float
     ) -> None:
-        """Suspect a neighbour whose link is gone and can't be opened again."""
+        """Suspect neighbours that have no link and could not be dialled."""
         for member in neighbours:
             is_reachable = self._dialer.is_reachable(member.peer_address)
             if member.id in linked or is_reachable:
                 continue
-            news = self._table.suspect(member.id, now_s)
-            if news is not None:
-                self._disseminator.send_member_update(news, is_local=True)
+            suspect = self._table.suspect(member.id, now_s)
+            if suspect is not None:
+                self._disseminator.send_member_update(suspect, is_local=True)
 
     def _expire_suspects(self, now_s: float) -> None:
         for member in self._table.expire_suspects(now_s, self._settings.suspicion_s):
@@ -103,7 +103,7 @@
             self._disseminator.send_member_update(member, is_local=True)
 
     def _direct_members(self) -> list[Member]:
-        """Return the members that links of their own are wanted to."""
+        """Return the members to keep direct links to."""
         rows = self._table.rows
         found = [rows[name] for name in self.direct if name in rows]
         own_id = self._table.own.id
@@ -113,8 +113,8 @@
         self, neighbours: list[Member], linked: set[DaemonId], now_s: float
     ) -> None:
         wanted: set[str] = set()
-        # Of the first members that a daemon finds when a fleet starts it would take
-        # most to serve, and link to all of them.
+        # While a fleet starts, a daemon would choose most of the few members that it
+        # has discovered as serving ones, and open links to all of them.
         if now_s - self._table.grew_s > MEMBERSHIP_SETTLE_S:
             direct = self._direct_members()
             wanted |= {m.peer_address for m in direct if m.id not in linked}
@@ -129,7 +129,7 @@
     def _addresses_to_dial(
         self, neighbours: list[Member], linked: set[DaemonId], now_s: float
     ) -> set[str]:
-        """Return the addresses of missing neighbours that it is time to dial."""
+        """Return the addresses of unlinked neighbours that are due for dialling."""
         topology = self._disseminator.topology
         since_s = self._missing_since_s
         missing = [member for member in neighbours if member.id not in linked]
@@ -143,10 +143,10 @@
         }
 
     def _started_before(self, member: Member, now_s: float) -> bool:
-        """Return whether a neighbour was there before this daemon, which just started.
+        """Return whether this daemon just started and the neighbour runs already.
 
-        It may have lost all its links, and still be dialling the process before this
-        one.
+        The neighbour may have lost all its links and still be dialling the previous
+        process of this daemon.
         """
         is_new = now_s - self._started_s < DIAL_GRACE_S
         return is_new and member.state is MemberState.ALIVE
@@ -154,8 +154,8 @@
     def _close_unneeded(self, neighbours: list[Member], now_s: float) -> None:
         """Close the links that neither side needs any more.
 
-        Each daemon that is found while a fleet starts changes who the neighbours are,
-        and every link costs heartbeats for as long as it stands.
+        While a fleet starts, each discovered daemon changes the set of neighbours, and
+        every open link costs heartbeats.
         """
         wanted = {m.id for m in (*neighbours, *self._direct_members())}
         for link in self._links:
--- a/chutelink/peers/mesh.py
+++ b/chutelink/peers/mesh.py
@@ -1,8 +1,8 @@
-"""Membership, and the links that carry what daemons tell each other.
+"""Membership of the fleet and the links between its daemons.
 
 A small fleet is a full mesh; in a larger one daemons link to hubs of their failure
-domain, which forward (see ``topology``). A neighbour that goes silent is suspected,
-and declared down unless it refutes.
+domain, which forward messages (see ``topology``). A neighbour that falls silent is
+suspected, and declared down unless it refutes the suspicion in time.
 """
 
 from __future__ import annotations
@@ -42,22 +42,24 @@
 from .transport import PeerConnection, PeerTransport, WebsocketTransport
 
 LEAVE_FLUSH_S = 0.05
+"""How long a stopping daemon waits for its last messages to be sent."""
 HEARTBEAT_JITTER = 0.3
+"""Largest share by which a heartbeat interval is shortened at random."""
 
 
 class Mesh(Service):
-    """Keeps links, membership and the spread of configuration versions.
+    """Maintains links and membership, and announces configuration versions.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that this daemon runs.
     settings : PeersSection
-        How many links, and how long a silence may be.
+        Seeds, number of hubs and timeouts.
     table : MemberTable
-        Filled by this service.
+        The members; updated by this service.
     transport : PeerTransport, optional
-        How peers are reached; websockets by default.
+        Connects peers; websockets by default.
     """
 
     def __init__(
@@ -95,18 +97,18 @@
             core, settings, table, self._links, self._dialer, self._disseminator
         )
         self._silence = PeerSilence(settings.peer_timeout_s)
-        self.on_broadcast: Callable[[Broadcast], None] = lambda news: None
+        self.on_broadcast: Callable[[Broadcast], None] = lambda message: None
         self.on_direct: Callable[[DaemonId, bytes], None] = lambda origin, body: None
         self.config_version: Callable[[], ConfigVersion] = lambda: ConfigVersion(0)
         self.config_body: Callable[[], ConfigBody | None] = lambda: None
         self.on_config_version: Callable[[ConfigVersion], None] = lambda version: None
         self.on_members_changed: Callable[[], None] = lambda: None
-        """Called once for each batch of changes."""
+        """Called once for each batch of member updates."""
         self.on_config_body: Callable[[ConfigBody], None] = lambda body: None
 
     @property
     def direct(self) -> set[DaemonId]:
-        """The members that this daemon wants links of its own with."""
+        """The members that this daemon keeps direct links to, besides neighbours."""
         return self._link_manager.direct
 
     @direct.setter
@@ -114,11 +116,11 @@
         self._link_manager.direct = members
 
     async def on_start(self) -> None:
-        """Listen for peers."""
+        """Start to accept connections from peers."""
         await self._transport.async_listen(self._async_run)
 
     async def on_stop(self) -> None:
-        """Say goodbye to the peers and close all links."""
+        """Announce that this daemon has left, and close all links."""
         self._announce_own_state(MemberState.LEFT)
         self._disseminator.flush_member_updates()
         await asyncio.sleep(LEAVE_FLUSH_S)
@@ -126,15 +128,15 @@
         await self._transport.async_stop()
 
     def set_seeds(self, addresses: set[str]) -> None:
-        """Take peers that the VM list names beside those of the settings."""
+        """Set the seeds from the VM list, in addition to the configured ones."""
         self._dialer.set_seeds(addresses)
 
     def announce_alive(self) -> None:
-        """Tell the peers that this daemon does its work from now on."""
+        """Announce that this daemon is in service."""
         self._announce_own_state(MemberState.ALIVE)
 
     def announce_leaving(self) -> None:
-        """Tell the peers that this daemon takes no new work soon."""
+        """Announce that this daemon will soon stop accepting work."""
         self._announce_own_state(MemberState.LEAVING)
 
     def _announce_own_state(self, state: MemberState) -> None:
@@ -142,32 +144,32 @@
         self._disseminator.send_member_update(member, is_local=True)
 
     def announce_config(self) -> None:
-        """Tell the peers at once of a newer version."""
+        """Announce a new configuration version ahead of the next heartbeat."""
         for link in self._links:
             link.send(Heartbeat(self.config_version()))
 
     def request_config(self, version: ConfigVersion) -> None:
-        """Ask one linked peer that has at least a version for its body."""
+        """Request the configuration from one peer that has at least this version."""
         for link in self._links:
             if link.config_version >= version:
                 link.send(ConfigRequest())
                 return
 
     def alone_until_s(self) -> float:
-        """Return when this daemon last heard none of the others for long."""
+        """Return until when this daemon last received nothing from any peer."""
         return self._silence.alone_until_s(self._core.clock())
 
     def linked_members(self) -> set[DaemonId]:
-        """Return the members that this daemon has a link with."""
+        """Return the ids of the members that this daemon has links to."""
         return {link.member.id for link in self._links if link.member is not None}
 
     def highest_peer_version(self) -> ConfigVersion:
-        """Return the highest version that a linked peer has in force."""
+        """Return the highest configuration version that a linked peer has in force."""
         versions = [link.config_version for link in self._links]
         return max(versions, default=ConfigVersion(0))
 
     async def _async_run(self, connection: PeerConnection) -> None:
-        """Serve a connection that either side has opened until it ends."""
+        """Handle a connection, accepted or dialled, until it ends."""
         link = Link(connection, self.table.own, self._traffic)
         link.last_received_s = link.opened_s = self._core.clock()
         members = list(self.table.rows.values())
@@ -207,7 +209,7 @@
         elif isinstance(message, QueueNews):
             self._handle_queue_update(message, link)
         elif isinstance(message, Broadcast):
-            if self._disseminator.take(message, link):
+            if self._disseminator.receive_broadcast(message, link):
                 self.on_broadcast(message)
         elif isinstance(message, Direct):
             if link.member is not None:
@@ -221,18 +223,18 @@
 
     def _handle_members(self, link: Link, members: list[Member]) -> None:
         for member in members:
-            news = self.table.merge(member, self._core.clock())
-            if news is not None:
-                is_own = news.id == self.table.own.id
-                self._disseminator.send_member_update(news, is_local=is_own)
-                self._link_manager.note_member_update(news)
+            update = self.table.merge(member, self._core.clock())
+            if update is not None:
+                is_own = update.id == self.table.own.id
+                self._disseminator.send_member_update(update, is_local=is_own)
+                self._link_manager.note_member_update(update)
 
     def publish_queue(
         self, waiting: dict[str, int], callers_per_s: dict[str, float]
     ) -> None:
-        """Tell all daemons what waits in this gateway and who uses it."""
+        """Send this gateway's queued requests and caller rates to all daemons."""
         own = self.table.own
-        news = QueueNews(
+        update = QueueNews(
             own.id,
             own.boot_id,
             own.failure_domain,
@@ -240,22 +242,22 @@
             waiting,
             callers_per_s,
         )
-        self._handle_queue_update(news, None)
+        self._handle_queue_update(update, None)
 
-    def _handle_queue_update(self, news: QueueNews, source: Link | None) -> None:
-        if not self.queues.merge(news, self._core.clock()):
+    def _handle_queue_update(self, update: QueueNews, source: Link | None) -> None:
+        if not self.queues.merge(update, self._core.clock()):
             return
         if source is None:
-            self._disseminator.send_own(news)
+            self._disseminator.send_to_all(update)
         else:
-            self._disseminator.forward(news.gateway, news, source)
+            self._disseminator.forward(update.gateway, update, source)
 
     def broadcast(self, body: bytes, topic: str) -> None:
-        """Tell all daemons something."""
+        """Send a message to all daemons."""
         self._disseminator.broadcast(body, topic)
 
     def send_to(self, members: set[DaemonId], body: bytes, topic: str) -> None:
-        """Tell some linked daemons, and nobody else."""
+        """Send a message to some linked daemons, without forwarding."""
         self._disseminator.send_to(members, body, topic)
 
     def _handle_config_version(self, link: Link, version: ConfigVersion) -> None:
@@ -267,9 +269,9 @@
     async def _async_tick_loop(self) -> None:
         while not self.should_stop:
             self._tick()
-            pause_s = self._settings.heartbeat_interval_s
+            interval_s = self._settings.heartbeat_interval_s
             await self.sleep(
-                pause_s * self._core.rng.uniform(1 - HEARTBEAT_JITTER, 1.0)
+                interval_s * self._core.rng.uniform(1 - HEARTBEAT_JITTER, 1.0)
             )
 
     def _tick(self) -> None:
@@ -288,13 +290,13 @@
             self._core.metrics.members.set({"state": state.value}, counts[state])
 
     def _send_heartbeats(self) -> None:
-        # Only where all link to all does this keep news from being forwarded.
+        # Only in a full mesh do the linked ids save forwarding: see Disseminator.
         is_full = self._disseminator.topology.is_full_mesh
-        linked_ids = sorted(self.linked_members()) if is_full else []
+        linked = sorted(self.linked_members()) if is_full else []
         version = self.config_version()
         encoded: dict[bool, bytes] = {}
         for link in self._links:
             if link.is_wanted not in encoded:
-                heartbeat = Heartbeat(version, linked_ids, link.is_wanted)
+                heartbeat = Heartbeat(version, linked, link.is_wanted)
                 encoded[link.is_wanted] = encode_message(heartbeat)
             link.send_encoded(encoded[link.is_wanted], message_kind(Heartbeat(version)))
--- a/chutelink/peers/messages.py
+++ b/chutelink/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons, as tagged arrays in CBOR."""
+"""Messages between daemons, encoded as tagged arrays in CBOR."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """First on each link: who is there and what it knows."""
+    """The first message on each link: the sender and the members it knows."""
 
     member: Member
     members: list[Member]
@@ -32,10 +32,10 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag="heartbeat"):
-    """Sign of life, with the version in force.
+    """Keeps a link alive and announces the configuration version in force.
 
-    ``linked`` are the members that the sender has links with: what comes from
-    them need not be passed on to it. A link that neither side says it wants is closed.
+    ``linked`` are the members that the sender has links with: their messages need not
+    be forwarded to it. A link is closed once neither side has ``is_wanted`` set.
     """
 
     config_version: ConfigVersion
@@ -44,16 +44,16 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, tag="members"):
-    """Changes of members, passed on to every peer that may not know them."""
+    """Changes of members, forwarded to every peer that may not know them."""
 
     members: list[Member]
 
 
 class QueueNews(msgspec.Struct, frozen=True, array_like=True, tag="queue"):
-    """What waits in a gateway, by model, and who uses it; passed on once.
+    """The queued requests of a gateway by model, and its request rates by caller.
 
-    ``callers_per_s`` has the callers that use much of their share of it.
-    ``sequence`` rises with each message of one process.
+    Forwarded once. ``callers_per_s`` lists only callers that use a large part of their
+    share of the gateway. ``sequence`` increases with each message of a process.
     """
 
     gateway: DaemonId
@@ -65,11 +65,11 @@
 
 
 class ConfigRequest(msgspec.Struct, frozen=True, array_like=True, tag="config_request"):
-    """Asks for the configuration in force at the peer."""
+    """Requests the configuration in force at the peer."""
 
 
 class ConfigBody(msgspec.Struct, frozen=True, array_like=True, tag="config_body"):
-    """A whole fleet file as it was committed."""
+    """The complete fleet file of a version, as committed."""
 
     version: ConfigVersion
     hash: str
@@ -77,10 +77,10 @@
 
 
 class Broadcast(msgspec.Struct, frozen=True, array_like=True, tag="broadcast"):
-    """What one daemon tells all others; hubs forward it.
+    """A message from one daemon to all others, forwarded by hubs.
 
-    ``sequence`` rises with each message of one process; ``body`` is decoded by
-    the program that it is for, ``topic`` names its kind.
+    ``sequence`` increases with each broadcast of a process. ``body`` is decoded by the
+    component that handles it; ``topic`` names the kind of message.
     """
 
     origin: DaemonId
@@ -91,7 +91,7 @@
 
 
 class Direct(msgspec.Struct, frozen=True, array_like=True, tag="direct"):
-    """What one daemon tells a linked one, and nobody else."""
+    """A message to one linked daemon, which is not forwarded."""
 
     body: bytes
     topic: str
@@ -110,30 +110,32 @@
 
 
 def message_kind(message: Message) -> str:
-    """Return the kind of a message, as metrics and logs name it."""
+    """Return the kind of a message for metrics and logs: its topic or its tag."""
     if isinstance(message, Broadcast | Direct) and message.topic:
         return message.topic
     return message.__struct_config__.tag
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as CBOR, compressed where that pays."""
+    """Return a message as CBOR, compressed where that saves space."""
     data = cbor2.dumps(msgspec.to_builtins(message))
-    # Bodies of the others are compressed already, or too small.
+    # The other kinds are too small to compress, or their bodies are compressed already.
     return pack(data) if isinstance(message, Hello | MemberUpdate) else PLAIN + data
 
 
 def decode_message(data: bytes | str, peer: str) -> Message:
-    """Return the message, checked at this edge.
+    """Decode and validate a message received from a peer.
 
     Raises
     ------
     PeerMessageInvalid
-        The bytes are not a message that is known.
+        The data are not a valid message.
     """
     step = "peers.decode"
     if isinstance(data, str) or len(data) > MAX_PEER_MESSAGE_BYTES:
-        raise PeerMessageInvalid("not a binary message in size", step=step, peer=peer)
+        raise PeerMessageInvalid(
+            "not binary, or above the size limit", step=step, peer=peer
+        )
     try:
         return msgspec.convert(cbor2.loads(unpack(data)), Message)
     except _DECODE_ERRORS as error:
--- a/chutelink/peers/packing.py
+++ b/chutelink/peers/packing.py
@@ -1,4 +1,4 @@
-"""Bytes of messages between daemons, compressed where that pays."""
+"""Compression of messages between daemons."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 PLAIN = b"p"
 COMPRESSED = b"z"
 MIN_COMPRESSED_BYTES = 512
-"""Smaller messages gain little; configurations and lists of members a lot."""
+"""Compression saves little on smaller messages.
+
+It saves a lot on configurations and lists of members.
+"""
 COMPRESSION_LEVEL = 1
 UNPACK_FAILURES = (ValueError, zlib.error)
 
 
 def pack(data: bytes) -> bytes:
-    """Return data behind a byte that says whether they are compressed."""
+    """Return the data, compressed if large, after a byte that says which it is."""
     if len(data) < MIN_COMPRESSED_BYTES:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the data.
+    """Return the data that ``pack`` was given.
 
     Raises
     ------
     ValueError
-        They are larger than a message may be.
+        The data exceed the size limit of messages.
     zlib.error
-        They are not what ``pack`` makes.
+        The compressed data are corrupt.
     """
     if packed[:1] != COMPRESSED:
         return packed[1:]
     decompressor = zlib.decompressobj()
     data = decompressor.decompress(packed[1:], MAX_PEER_MESSAGE_BYTES)
     if decompressor.unconsumed_tail:
-        raise ValueError("message too large")
+        raise ValueError("decompressed message exceeds the size limit")
     return data
--- a/chutelink/peers/silence.py
+++ b/chutelink/peers/silence.py
@@ -1,4 +1,4 @@
-"""When a daemon last heard none of the others. Pure."""
+"""Detection that a daemon received nothing from any peer. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,15 @@
 
 
 class PeerSilence:
-    """Tells a daemon that was cut off from one whose peers heard nothing either.
+    """Records when this daemon last received nothing from any peer for a while.
+
+    This distinguishes a daemon that was isolated itself from an outage that its peers
+    noticed as well.
 
     Parameters
     ----------
     longest_s : float
-        Peers in good order are never all silent for longer.
+        Healthy peers are never all silent for longer than this.
     """
 
     def __init__(self, max_silence_s: float) -> None:
@@ -20,15 +23,15 @@
         self._silence_ended_s = -math.inf
 
     def note_heard(self, now_s: float) -> None:
-        """Take in that some peer has spoken."""
+        """Record that a message was received from some peer."""
         if self._is_silent(now_s):
             self._silence_ended_s = now_s
         self._last_received_s = now_s
 
     def alone_until_s(self, now_s: float) -> float:
-        """Return when the last silence of all peers ended, now if it goes on.
+        """Return when the last silence of all peers ended; now if it still lasts.
 
-        Minus infinity where none was heard of ever, or there was no such silence.
+        Minus infinity if no peer was ever heard from or no such silence occurred.
         """
         return now_s if self._is_silent(now_s) else self._silence_ended_s
 
--- a/chutelink/peers/topology.py
+++ b/chutelink/peers/topology.py
@@ -1,11 +1,11 @@
-"""Which peers a daemon links to, and where it forwards what it hears. Pure.
+"""The links that each daemon keeps, and where it forwards messages. No I/O.
 
 A small fleet is a full mesh. In a larger one some daemons of each failure domain are
 hubs: all hubs are linked to each other, and every other daemon to the hubs of its
 failure domain. The first hubs of all failure domains form one plane, the second hubs
 another: a broadcast crosses between two failure domains once in each plane, and the
-hubs of a failure domain forward it to all its daemons. The loss of one hub of a
-failure domain therefore loses no message.
+hubs of a failure domain forward it to all its daemons. So no message is lost if one
+hub of a failure domain fails.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from ..tables.members import Member, MemberState
 
 FULL_MESH_MEMBERS = 12
-"""Up to so many others, all link to all: nothing has to be forwarded."""
+"""Up to this many peers form a full mesh, where nothing has to be forwarded."""
 
 
 def _hub_sort_key(member: Member) -> tuple[bool, float, DaemonId]:
-    """Order candidates: reachable ones first, then by the capacity of their VM."""
+    """Return the sort key of hub candidates: reachable first, then by VM capacity."""
     return member.state is MemberState.SUSPECT, -member.capacity, member.id
 
 
 class Topology:
-    """The links between some members, as one of them sees it.
+    """The links between members, from the point of view of one daemon.
 
     Parameters
     ----------
     own : Member
-        The daemon that looks.
+        This daemon.
     others : iterable of Member
         The members that links may be opened to.
     hubs_per_domain : int
-        How many daemons of a failure domain forward.
+        How many daemons of each failure domain forward messages.
     """
 
     def __init__(
@@ -49,11 +49,11 @@
         if not self.is_full_mesh:
             self._choose_hubs()
         self.neighbours = self._find_neighbours()
-        """The members that this daemon keeps links with."""
+        """The members that this daemon keeps links to."""
         self.addresses = frozenset(
             member.peer_address for member in self._others.values()
         )
-        """Where the others are reached."""
+        """The peer addresses of the other members."""
 
     def _choose_hubs(self) -> None:
         by_domain: dict[FailureDomainName, list[Member]] = defaultdict(list)
@@ -64,7 +64,7 @@
             self._planes |= {hub.id: plane for plane, hub in enumerate(hubs)}
 
     def is_hub(self, daemon: DaemonId) -> bool:
-        """Return whether a daemon forwards for its failure domain."""
+        """Return whether a daemon is a hub of its failure domain."""
         return daemon in self._planes
 
     def _find_neighbours(self) -> list[Member]:
@@ -73,16 +73,16 @@
         return [m for m in self._others.values() if self._is_neighbour(m)]
 
     def _is_neighbour(self, member: Member) -> bool:
-        is_near = member.failure_domain == self._own.failure_domain
+        is_same_domain = member.failure_domain == self._own.failure_domain
         if self.is_hub(member.id):
-            return is_near or self.is_hub(self._own.id)
-        return is_near and self.is_hub(self._own.id)
+            return is_same_domain or self.is_hub(self._own.id)
+        return is_same_domain and self.is_hub(self._own.id)
 
     def should_dial(self, member: Member) -> bool:
-        """Return whether this daemon opens its link with a neighbour.
+        """Return whether this daemon opens the link to a neighbour.
 
-        Daemons dial their hubs, and of two hubs the lower id dials, so that a start of
-        a whole fleet opens each link once.
+        Daemons dial their hubs, and of two hubs the one with the lower id dials, so
+        that each link is opened once when a whole fleet starts.
         """
         if self.is_full_mesh:
             return True
@@ -94,14 +94,14 @@
     def broadcast_targets(
         self, origin: Member | None, linked: Mapping[DaemonId, Member]
     ) -> set[DaemonId]:
-        """Return the linked peers that a broadcast goes to from here.
+        """Return the linked peers to which this daemon sends or forwards a broadcast.
 
         Parameters
         ----------
         origin : Member or None
-            Who sent it first; None for one that is not known yet.
+            The daemon that created the message; None if it is not known yet.
         linked : mapping
-            The peers that this daemon has links with.
+            The peers that this daemon has links to.
         """
         is_own = origin is not None and origin.id == self._own.id
         if self.is_full_mesh or (is_own and not self.is_hub(self._own.id)):
@@ -109,15 +109,21 @@
         if not self.is_hub(self._own.id):
             return set()
         own_domain = self._own.failure_domain
-        near = {m.id for m in linked.values() if m.failure_domain == own_domain}
+        same_domain = {m.id for m in linked.values() if m.failure_domain == own_domain}
         if origin is not None and origin.failure_domain != own_domain:
-            return near
+            return same_domain
         planes = self._served_planes(linked)
-        far = {id for id in linked.keys() - near if self._planes.get(id) in planes}
-        return near | far
+        remote_hubs = {
+            id for id in linked.keys() - same_domain if self._planes.get(id) in planes
+        }
+        return same_domain | remote_hubs
 
     def _served_planes(self, linked: Mapping[DaemonId, Member]) -> set[int]:
-        """Return the planes that only this hub serves for its failure domain."""
+        """Return the planes that this hub forwards in.
+
+        These are its own plane and those of the hubs of its failure domain that it
+        has no link to.
+        """
         planes = {self._planes[self._own.id]}
         for id, plane in self._planes.items():
             member = self._others.get(id)
@@ -130,11 +136,11 @@
     def member_update_targets(
         self, subject: Member, linked: Mapping[DaemonId, Member], *, is_local: bool
     ) -> set[DaemonId]:
-        """Return the linked peers that news of a member go to from here.
+        """Return the linked peers to which this daemon sends a member update.
 
-        Unlike broadcasts they go to all hubs of other failure domains, and to daemons
-        that have just started, which are not linked to their hubs yet. ``is_local``
-        says that this daemon found out by itself.
+        Unlike broadcasts, updates go to all hubs of other failure domains, and to
+        daemons that have just started and are not linked to their hubs yet.
+        ``is_local`` is set if this daemon itself detected the change.
         """
         if self.is_full_mesh or is_local:
             return set(linked)
--- a/chutelink/peers/traffic.py
+++ b/chutelink/peers/traffic.py
@@ -1,4 +1,4 @@
-"""What the links carry, by kind of message."""
+"""Traffic counters of the peer links, by kind of message."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Direction(Enum):
-    """Which way a message went."""
+    """The direction of a message."""
 
     SENT = "sent"
     RECEIVED = "received"
@@ -26,7 +26,7 @@
 
 
 class _Volume:
-    """Messages and their bytes, since the last export."""
+    """Counts of messages and their bytes."""
 
     def __init__(self) -> None:
         self.messages = 0
@@ -57,7 +57,7 @@
         self._pending[kind, direction, scope].add(1, size_bytes)
 
     def export(self, metrics: Metrics) -> None:
-        """Add what was counted since the last export to the metrics."""
+        """Add the counts since the last export to the metrics."""
         for (kind, direction, scope), volume in self._pending.items():
             labels = {
                 "kind": kind,
@@ -72,7 +72,7 @@
         self._pending.clear()
 
     def log(self, events: EventLog, now_s: float) -> None:
-        """Write what was exported since the last line, if a period has passed."""
+        """Log the exported counts once every ``LOG_PERIOD_S``."""
         if self._last_log_s is None:
             self._last_log_s = now_s
         period_s = now_s - self._last_log_s
--- a/chutelink/peers/transport.py
+++ b/chutelink/peers/transport.py
@@ -1,4 +1,4 @@
-"""How peers reach each other: websockets, behind an interface without them."""
+"""Connections between peers: an abstract transport, and one over websockets."""
 
 from __future__ import annotations
 
@@ -16,52 +16,52 @@
 
 
 class PeerConnection(ABC):
-    """One connection to a peer, whichever side opened it."""
+    """A connection to a peer, regardless of which side opened it."""
 
     @abstractmethod
     async def async_send(self, data: bytes) -> None:
-        """Send one message, when the peer keeps up."""
+        """Send one message; wait while the peer's receive buffer is full."""
 
     @abstractmethod
     def __aiter__(self) -> AsyncIterator[bytes]:
-        """Iterate over the peer's messages until the connection has ended."""
+        """Iterate over received messages until the connection ends."""
 
     @abstractmethod
     def close(self) -> None:
-        """End the connection once what was sent is out."""
+        """Close the connection after the data already sent have been transmitted."""
 
     @abstractmethod
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once, discarding unsent data."""
 
 
 ConnectionHandler = Callable[[PeerConnection], Awaitable[None]]
 
 
 class PeerTransport(ABC):
-    """Takes and opens connections to peers."""
+    """Accepts and opens connections to peers."""
 
     @abstractmethod
     async def async_listen(self, handler: ConnectionHandler) -> None:
-        """Hand each connection that a peer opens to a handler."""
+        """Accept connections and run a handler for each."""
 
     @abstractmethod
     async def async_stop(self) -> None:
-        """Take no more connections, and end those that were taken."""
+        """Stop accepting connections and close the accepted ones."""
 
     @abstractmethod
     async def async_dial(self, address: str, handler: ConnectionHandler) -> None:
-        """Open a connection, and return once its handler has.
+        """Open a connection, run a handler for it, and return when that returns.
 
         Raises
         ------
         OSError
-            The peer can't be reached, or did not answer in time.
+            The peer is unreachable or did not answer in time.
         """
 
 
 class WebsocketConnection(PeerConnection):
-    """A websocket to a peer.
+    """A websocket connection to a peer.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
         await self._connection.send(data)
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Iterate over messages; a connection that breaks off just ends."""
+        """Iterate over messages; a lost connection ends the iteration without error."""
         try:
             async for data in self._connection:
                 yield data
@@ -85,27 +85,27 @@
             return
 
     def close(self) -> None:
-        """Close the TCP connection, without a closing handshake."""
+        """Close the TCP connection without a websocket closing handshake."""
         self._connection.transport.close()
 
     def abort(self) -> None:
-        """Drop the TCP connection with all that is queued."""
+        """Abort the TCP connection, discarding all queued data."""
         self._connection.transport.abort()
 
 
 class WebsocketTransport(PeerTransport):
-    """Websockets, with the key that all daemons of a fleet share.
+    """Connects peers by websockets, authenticated by the key that a fleet shares.
 
     Parameters
     ----------
     address : str
-        Where to listen.
+        The address to listen on.
     port : int
-        Where to listen.
+        The port to listen on.
     peer_key : str
-        Whoever does not send it is rejected.
+        Connections without this key are rejected.
     open_timeout_s : float
-        Longest time of a dial.
+        Time limit for opening a connection.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
         self._server: Server | None = None
 
     async def async_listen(self, handler: ConnectionHandler) -> None:
-        """Listen for websockets."""
+        """Start the websocket server."""
 
         async def async_accept(connection: ServerConnection) -> None:
             await handler(WebsocketConnection(connection))
@@ -140,7 +140,7 @@
             await self._server.wait_closed()
 
     async def async_dial(self, address: str, handler: ConnectionHandler) -> None:
-        """Open a websocket."""
+        """Open a websocket connection."""
         try:
             async with connect(
                 f"ws://{address}/",
--- a/tests/learning/test_reading.py
+++ b/tests/learning/test_reading.py
@@ -1,4 +1,4 @@
-"""Prompts are spaced out so that streams under way go on."""
+"""Prompts are spaced so that their prefill does not stall running streams."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from ..relaying.world import SERVICES, async_world, make_config
 
 PAUSE_S = 0.25
-ROOM_S = MAX_PREFILL_SHARE * PAUSE_S
+PREFILL_LIMIT_S = MAX_PREFILL_SHARE * PAUSE_S
 
 
-def test_a_prompt_fits_beside_short_ones():
+def test_a_prompt_is_not_delayed_by_short_ones():
     table = ReadingTable()
     table.note("i-1", 0.02, 10.0)
     assert table.room_in_s("i-1", 0.02, 10.0, PAUSE_S) == 0.0
     assert table.room_in_s("i-2", 9.0, 10.0, PAUSE_S) == 0.0
 
 
-def test_a_prompt_waits_until_earlier_ones_are_a_pause_away():
+def test_a_prompt_waits_until_earlier_ones_leave_the_window():
     table = ReadingTable()
-    table.note("i-1", 0.6 * ROOM_S, 10.0)
-    table.note("i-1", 0.3 * ROOM_S, 10.1)
-    wait_s = table.room_in_s("i-1", 0.5 * ROOM_S, 10.1, PAUSE_S)
+    table.note("i-1", 0.6 * PREFILL_LIMIT_S, 10.0)
+    table.note("i-1", 0.3 * PREFILL_LIMIT_S, 10.1)
+    wait_s = table.room_in_s("i-1", 0.5 * PREFILL_LIMIT_S, 10.1, PAUSE_S)
     assert wait_s == pytest.approx(PAUSE_S - 0.1)
-    assert table.room_in_s("i-1", 0.5 * ROOM_S, 10.26, PAUSE_S) == 0.0
-    both_s = table.room_in_s("i-1", 0.9 * ROOM_S, 10.1, PAUSE_S)
-    assert both_s == pytest.approx(PAUSE_S)
+    assert table.room_in_s("i-1", 0.5 * PREFILL_LIMIT_S, 10.26, PAUSE_S) == 0.0
+    longer_wait_s = table.room_in_s("i-1", 0.9 * PREFILL_LIMIT_S, 10.1, PAUSE_S)
+    assert longer_wait_s == pytest.approx(PAUSE_S)
 
 
-def test_a_prompt_longer_than_any_room_goes_when_none_was_sent():
+def test_a_prompt_above_the_limit_is_sent_if_no_other_was():
     table = ReadingTable()
     assert table.room_in_s("i-1", 2.0, 10.0, PAUSE_S) == 0.0
     table.note("i-1", 0.01, 10.0)
     assert table.room_in_s("i-1", 2.0, 10.0, PAUSE_S) == pytest.approx(PAUSE_S)
 
 
-def test_without_a_limit_on_pauses_nothing_waits():
+def test_without_a_pause_limit_no_prompt_waits():
     table = ReadingTable()
     table.note("i-1", 5.0, 10.0)
     assert table.room_in_s("i-1", 5.0, 10.0, 0.0) == 0.0
 
 
-def test_the_news_of_a_prompt_is_the_same_after_its_way():
+def test_a_prompt_message_round_trips():
     news = PromptNews("d1", "i-1", "m0/a1", 0.25)
     assert decode_news(encode_news(news), "d1") == news
 
@@ -58,7 +58,7 @@
     return routes
 
 
-def test_a_request_goes_where_prompts_leave_room():
+def test_a_request_goes_to_an_endpoint_without_recent_prompts():
     async def async_test():
         async with async_world() as world:
             world.configure(routes=make_routes(400))
@@ -73,7 +73,7 @@
     asyncio.run(async_test())
 
 
-def test_a_request_is_never_held_beyond_its_objective():
+def test_a_prompt_delay_does_not_exceed_the_objective():
     async def async_test():
         async with async_world() as world:
             world.configure(routes=make_routes(60_000))
--- a/tests/learning/test_speeds.py
+++ b/tests/learning/test_speeds.py
@@ -1,4 +1,4 @@
-"""Reading speeds that are learned from first events."""
+"""Prefill speeds learned from times to first event."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from ..placing.test_placement import make_site
 
 TOKENS = 7600
-"""Read in 0.2 s at factor 1."""
+"""Their prefill takes 0.2 s at factor 1."""
 
 
 def learn(
     speeds: SpeedTable, model: str, endpoint: str, factor: float, count: int = 60
 ) -> None:
-    """Let first events come ``factor`` times later than the sheets say."""
+    """Record first events whose prefill took ``factor`` times the base time."""
     for _ in range(count):
         expected_s = speeds.read_s(model, TOKENS) * speeds.endpoint_factor(endpoint)
         speeds.note(model, endpoint, expected_s, 0.2 * factor + FIRST_EVENT_S)
@@ -32,7 +32,7 @@
     assert total_s == pytest.approx(0.08, rel=0.1)
 
 
-def test_models_of_one_size_are_taken_to_be_alike():
+def test_a_model_without_observations_is_like_others_of_its_size():
     speeds = SpeedTable()
     speeds.set_sizes({"m0": 65.0, "m1": 65.0, "m2": 72.0})
     learn(speeds, "m0", "i-1", 0.4)
@@ -40,7 +40,7 @@
     assert speeds.read_s("m2", TOKENS) == pytest.approx(0.2)
 
 
-def test_a_slow_endpoint_is_told_from_a_slow_model():
+def test_a_slow_endpoint_is_distinguished_from_a_slow_model():
     speeds = SpeedTable()
     for _ in range(40):
         for model in ("m0", "m1"):
@@ -52,19 +52,19 @@
     assert speeds.endpoint_factor("i-2") == 1.0
 
 
-def test_one_odd_time_changes_little():
+def test_an_outlier_changes_little():
     speeds = SpeedTable()
     speeds.note("m0", "i-1", 0.2, 9.0)
     assert speeds.read_s("m0", TOKENS) < 0.25
 
 
-def test_short_reads_are_not_learned_from():
+def test_short_prefill_times_are_ignored():
     speeds = SpeedTable()
     speeds.note("m0", "i-1", 0.01, 2.0)
     assert speeds.read_s("m0", TOKENS) == pytest.approx(0.2)
 
 
-def test_requests_go_to_the_endpoint_that_reads_faster():
+def test_requests_go_to_the_endpoint_with_faster_prefill():
     speeds = SpeedTable()
     learn(speeds, "m0", "i-1", 2.0)
     policy = LeastLoss(HealthTable(), PrefixTable(), speeds, DurationTable())
--- a/tests/peers/test_members.py
+++ b/tests/peers/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: news in any order gives the same view, and the living refute."""
+"""Membership: updates commute, and running daemons refute suspicions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     )
 
 
-NEWS = st.builds(
+UPDATES = st.builds(
     make_member,
     name=st.sampled_from(["d2", "d3"]),
     incarnation=st.integers(1, 3),
@@ -36,41 +36,41 @@
 )
 
 
-@given(st.lists(NEWS, max_size=8), st.randoms(use_true_random=False))
-def test_news_in_any_order_gives_the_same_view(news, rng):
+@given(st.lists(UPDATES, max_size=8), st.randoms(use_true_random=False))
+def test_updates_in_any_order_give_the_same_view(updates, rng):
     views = []
     for _ in range(2):
         table = MemberTable(make_member("d1"))
-        for member in news:
+        for member in updates:
             table.merge(member, 0.0)
         views.append(table.rows)
-        rng.shuffle(news)
+        rng.shuffle(updates)
     assert views[0] == views[1]
 
 
-@given(st.lists(NEWS, max_size=8))
-def test_news_is_passed_on_once(news):
+@given(st.lists(UPDATES, max_size=8))
+def test_an_update_is_forwarded_once(updates):
     table = MemberTable(make_member("d1"))
-    for member in news:
+    for member in updates:
         table.merge(member, 0.0)
         assert table.merge(member, 0.0) is None
 
 
-def test_the_living_refute_what_is_said_of_them():
+def test_a_running_daemon_refutes_that_it_is_down():
     table = MemberTable(make_member("d1", 5))
-    lie = make_member("d1", 5, MemberState.DOWN)
-    truth = table.merge(lie, 0.0)
-    assert truth.state is MemberState.ALIVE
-    assert truth.is_newer_than(lie)
+    claim = make_member("d1", 5, MemberState.DOWN)
+    refutation = table.merge(claim, 0.0)
+    assert refutation.state is MemberState.ALIVE
+    assert refutation.is_newer_than(claim)
 
 
-def test_a_restarted_daemon_whose_clock_went_back_is_believed():
+def test_a_restarted_daemon_with_a_lower_incarnation_overrides_its_old_state():
     table = MemberTable(make_member("d1", 3))
     old = msgspec.structs.replace(make_member("d1", 9), boot_id=BootId("before"))
     assert table.merge(old, 0.0).is_newer_than(old)
 
 
-def test_a_joining_gateway_is_not_offered_to_callers():
+def test_a_joining_gateway_is_not_listed_as_live():
     table = MemberTable(make_member("d1"))
     table.merge(make_member("d2", 1, MemberState.JOINING), 0.0)
     assert [m.id for m in table.live(Role.GATEWAY)] == ["d1"]
@@ -78,7 +78,7 @@
     assert len(table.live(Role.GATEWAY)) == 2
 
 
-def test_a_silent_member_is_down_unless_it_refutes():
+def test_a_suspect_is_declared_down_unless_it_refutes():
     table = MemberTable(make_member("d1"))
     table.merge(make_member("d2", 1), 0.0)
     assert table.suspect(DaemonId("d2"), 10.0).state is MemberState.SUSPECT
@@ -90,14 +90,14 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_from_a_peer_are_a_message_or_refused(data):
+def test_any_bytes_are_decoded_or_rejected(data):
     try:
         decode_message(data, "peer")
     except PeerMessageInvalid as error:
         assert error.peer == "peer"
 
 
-def test_messages_survive_the_wire():
+def test_messages_round_trip_and_text_is_rejected():
     message = Heartbeat(7)
     assert decode_message(encode_message(message), "peer") == message
     with pytest.raises(PeerMessageInvalid):
--- a/tests/peers/test_mesh.py
+++ b/tests/peers/test_mesh.py
@@ -1,4 +1,4 @@
-"""Links between real meshes on loopback."""
+"""Links between meshes over websockets on loopback."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
             await asyncio.sleep(0.02)
 
 
-def test_a_link_that_neither_side_needs_is_closed(monkeypatch):
-    """Kept by one side that needs it; at a start neighbours change with each find."""
+def test_a_link_is_closed_once_neither_side_needs_it(monkeypatch):
+    """The link stays open as long as one side needs it.
+
+    Neighbours change with each daemon that is discovered while a fleet starts.
+    """
     monkeypatch.setattr(link_manager, "MIN_LINK_AGE_S", 0.1)
 
     async def async_test():
--- a/tests/peers/test_silence.py
+++ b/tests/peers/test_silence.py
@@ -1,4 +1,4 @@
-"""Silences of all peers at once."""
+"""Detection that all peers are silent at once."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from chutelink.peers.silence import PeerSilence
 
 
-def test_a_daemon_without_peers_was_never_cut_off_from_any():
+def test_a_daemon_that_never_had_peers_was_never_isolated():
     assert PeerSilence(1.5).alone_until_s(100.0) == -math.inf
 
 
-def test_a_silence_counts_until_a_peer_speaks_again():
+def test_a_silence_lasts_until_a_message_is_received():
     silence = PeerSilence(1.5)
     for now_s in (1.0, 2.0, 3.0):
         silence.note_heard(now_s)
--- a/tests/peers/test_topology.py
+++ b/tests/peers/test_topology.py
@@ -1,4 +1,4 @@
-"""Broadcasts and news of members over hubs: all hear, few messages cross domains."""
+"""Broadcasts and member updates reach all daemons and cross domains rarely."""
 
 from __future__ import annotations
 
@@ -35,38 +35,39 @@
 
 
 class Fleet:
-    """Daemons that all know each other, with the links that they open.
+    """Daemons that all know each other, with the links between them.
 
-    ``dead`` have just died: all still count on them, and their links are gone.
+    Those in ``dead`` have just failed: their links are gone, but the others still have
+    them in their topology.
     """
 
     def __init__(self, members, dead=frozenset()):
         self.by_id = {member.id: member for member in members}
-        self.views = {
+        self.topologies = {
             member.id: Topology(member, [m for m in members if m is not member], HUBS)
             for member in members
         }
         self.links = {name: {} for name in self.by_id}
         self.dials = Counter()
-        for name, view in self.views.items():
-            for peer in view.neighbours:
+        for name, topology in self.topologies.items():
+            for peer in topology.neighbours:
                 if name in dead or peer.id in dead:
                     continue
-                self.dials[frozenset((name, peer.id))] += view.should_dial(peer)
+                self.dials[frozenset((name, peer.id))] += topology.should_dial(peer)
                 self.links[name][peer.id] = peer
                 self.links[peer.id][name] = self.by_id[name]
         self.alive = set(self.by_id) - set(dead)
 
     def spread(self, origin, targets_of):
-        """Return copies received by each daemon, those between domains, and hops."""
+        """Return copies received by each daemon, cross-domain copies, and hops."""
         received, remote, hops = Counter(), 0, {origin: 0}
         queue = deque([(origin, None)])
         while queue:
             name, source = queue.popleft()
             for peer in targets_of(name) - {source, origin}:
                 received[peer] += 1
-                here, there = self.by_id[name], self.by_id[peer]
-                remote += here.failure_domain != there.failure_domain
+                sender, receiver = self.by_id[name], self.by_id[peer]
+                remote += sender.failure_domain != receiver.failure_domain
                 if peer not in hops:
                     hops[peer] = hops[name] + 1
                     queue.append((peer, name))
@@ -74,26 +75,26 @@
 
     def broadcast(self, origin):
         def targets_of(name):
-            view = self.views[name]
-            targets = view.broadcast_targets(self.by_id[origin], self.links[name])
-            # Heartbeats of a full mesh tell who hears the origin itself.
-            is_told = view.is_full_mesh and name != origin
-            return targets - self.links[origin].keys() if is_told else targets
+            topology = self.topologies[name]
+            targets = topology.broadcast_targets(self.by_id[origin], self.links[name])
+            # In a full mesh heartbeats list the peers that are linked to the origin.
+            is_deduplicated = topology.is_full_mesh and name != origin
+            return targets - self.links[origin].keys() if is_deduplicated else targets
 
         return self.spread(origin, targets_of)
 
-    def tell_member(self, origin):
+    def send_member_update(self, origin):
         return self.spread(
             origin,
-            lambda name: self.views[name].member_update_targets(
+            lambda name: self.topologies[name].member_update_targets(
                 self.by_id[origin], self.links[name], is_local=name == origin
             ),
         )
 
 
 @pytest.mark.parametrize("count", [12, 19, 60, 195, 350])
-def test_a_broadcast_reaches_all_in_three_hops_and_crosses_few_times(count):
-    """Each daemon gets two copies at most times, a failure domain two from outside."""
+def test_a_broadcast_reaches_all_in_three_hops_with_few_cross_domain_copies(count):
+    """Daemons mostly receive two copies, and failure domains two from outside."""
     fleet = Fleet(make_members(count))
     for origin in (DaemonId("d000"), DaemonId(f"d{count - 1:03}")):
         received, remote, hops = fleet.broadcast(origin)
@@ -105,17 +106,17 @@
 
 
 @pytest.mark.parametrize("count", [19, 60, 195, 350])
-def test_news_of_a_member_reach_all(count):
+def test_a_member_update_reaches_all(count):
     fleet = Fleet(make_members(count))
-    _, remote, hops = fleet.tell_member(DaemonId(f"d{count - 1:03}"))
+    _, remote, hops = fleet.send_member_update(DaemonId(f"d{count - 1:03}"))
     assert hops.keys() == fleet.alive
     assert remote <= HUBS * HUBS * 5
 
 
 @settings(deadline=None)
 @given(st.integers(14, 120), st.integers(1, 8), st.integers(0, 119), st.data())
-def test_the_loss_of_a_hub_in_each_domain_loses_no_broadcast(count, domains, at, data):
-    """Whichever one of the two hubs of a failure domain has died a moment ago."""
+def test_no_broadcast_is_lost_if_one_hub_per_domain_fails(count, domains, at, data):
+    """The failed hubs are all in one plane, and the others do not know of it yet."""
     members = make_members(count, domains)
     dead = set()
     if count >= 4 * domains:
@@ -130,29 +131,29 @@
 
 @settings(deadline=None)
 @given(st.integers(2, 120), st.integers(1, 8))
-def test_links_join_all_and_each_is_dialled_by_one_side(count, domains):
-    """Following the links from any daemon reaches all others in a few hops."""
+def test_links_connect_all_daemons_and_each_is_dialled_by_one_side(count, domains):
+    """All daemons are reachable over links from the first one."""
     fleet = Fleet(make_members(count, domains))
-    reached, front = {DaemonId("d000")}, {DaemonId("d000")}
-    while front:
-        front = {peer for name in front for peer in fleet.links[name]} - reached
-        reached |= front
+    reached, frontier = {DaemonId("d000")}, {DaemonId("d000")}
+    while frontier:
+        frontier = {peer for name in frontier for peer in fleet.links[name]} - reached
+        reached |= frontier
     assert reached == set(fleet.by_id)
     if count - 1 > FULL_MESH_MEMBERS:
         assert set(fleet.dials.values()) == {1}
 
 
-def test_a_daemon_that_is_no_hub_has_links_to_its_hubs_alone():
+def test_a_daemon_that_is_not_a_hub_links_only_to_its_hubs():
     fleet = Fleet(make_members(195))
     assert len(fleet.links[DaemonId("d194")]) == HUBS
 
 
-def test_a_silent_hub_is_replaced():
-    """Suspects come last; the next in capacity takes over."""
+def test_a_suspect_hub_is_replaced():
+    """Suspects rank last, so that the next daemon by capacity becomes a hub."""
     import msgspec
 
     members = make_members(60)
-    silent = msgspec.structs.replace(members[0], state=MemberState.SUSPECT)
-    view = Topology(members[59], [silent, *members[1:59]], HUBS)
-    assert not view.is_hub(silent.id)
-    assert view.is_hub(members[6].id) and view.is_hub(members[12].id)
+    suspect = msgspec.structs.replace(members[0], state=MemberState.SUSPECT)
+    topology = Topology(members[59], [suspect, *members[1:59]], HUBS)
+    assert not topology.is_hub(suspect.id)
+    assert topology.is_hub(members[6].id) and topology.is_hub(members[12].id)
--- a/tests/peers/virtual_fleet.py
+++ b/tests/peers/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Meshes of many daemons in one process, in virtual time, over a network of fakes."""
+"""Meshes of many daemons in one process, on a simulated network in virtual time."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 from chutelink.settings import PeersSection
 from chutelink.tables.members import Member, MemberState, MemberTable, Role
 
-FAR_S = 0.0014
-"""One way between failure domains."""
-NEAR_S = 0.0002
-LARGE_PER_DOMAIN = 3
+CROSS_DOMAIN_DELAY_S = 0.0014
+"""One-way delay between failure domains."""
+LOCAL_DELAY_S = 0.0002
+"""One-way delay within a failure domain."""
+LARGE_VMS_PER_DOMAIN = 3
 SEEDS = 3
 SETTINGS = PeersSection(
     seeds=tuple(f"d{number:03}:1" for number in range(SEEDS)),
@@ -32,15 +33,15 @@
 )
 
 
-class _Silent(SimpleNamespace):
-    """Takes log lines and drops them."""
+class _NullEventLog(SimpleNamespace):
+    """Discards all log events."""
 
     def __getattr__(self, name):
         return lambda *arguments, **fields: None
 
 
 class VirtualConnection(PeerConnection):
-    """One side of a connection; what it sends arrives at the other some time later."""
+    """One side of a connection; sent messages reach the other side after a delay."""
 
     def __init__(self, network: VirtualNetwork, own: str, peer: str) -> None:
         self._network = network
@@ -52,7 +53,7 @@
         self.is_open = True
 
     async def async_send(self, data: bytes) -> None:
-        self._network.carry(self, data)
+        self._network.deliver(self, data)
 
     def arrive(self, data: bytes | None) -> None:
         if self.is_open:
@@ -63,7 +64,7 @@
             yield data
 
     def deliver_after(self, delay_s: float, data: bytes | None) -> None:
-        """Let the other side have something, in order."""
+        """Deliver a message, or None for the end, to the other side in order."""
         loop = asyncio.get_running_loop()
         self._due_s = max(self._due_s, loop.time() + delay_s)
         loop.call_at(self._due_s, self.other.arrive, data)
@@ -74,14 +75,14 @@
     def abort(self) -> None:
         if not self.is_open:
             return
-        if self._network.is_joined(self.own, self.peer):
+        if self._network.can_reach(self.own, self.peer):
             self.deliver_after(0.0, None)
         self._arrived.put_nowait(None)
         self.is_open = False
 
 
 class VirtualTransport(PeerTransport):
-    """The network as one daemon sees it."""
+    """The transport of one daemon on the simulated network."""
 
     def __init__(self, network: VirtualNetwork, address: str) -> None:
         self._network = network
@@ -94,29 +95,29 @@
         self._network.listening.pop(self._address, None)
 
     async def async_dial(self, address: str, handler: ConnectionHandler) -> None:
-        await asyncio.sleep(FAR_S)
+        await asyncio.sleep(CROSS_DOMAIN_DELAY_S)
         self._network.dials[self._address] += 1
-        if not self._network.is_joined(self._address, address):
+        if not self._network.can_reach(self._address, address):
             await asyncio.sleep(SETTINGS.peer_timeout_s)
-            raise TimeoutError("no answer")
+            raise TimeoutError("timed out")
         accept = self._network.listening.get(address)
         if accept is None:
-            raise ConnectionRefusedError("nobody listens")
-        mine, theirs = self._network.make_pair(self._address, address)
-        task = asyncio.ensure_future(accept(theirs))
+            raise ConnectionRefusedError("not listening")
+        dialed, accepted = self._network.make_pair(self._address, address)
+        task = asyncio.ensure_future(accept(accepted))
         self._network.tasks.add(task)
         task.add_done_callback(self._network.tasks.discard)
         try:
-            await handler(mine)
+            await handler(dialed)
         finally:
-            mine.abort()
+            dialed.abort()
 
 
 class VirtualNetwork:
-    """Carries messages between daemons; some may be cut off from others.
+    """Delivers messages between daemons, with failed and partitioned daemons.
 
-    ``sent_bytes`` and ``sent`` count by sender, ``remote_bytes`` what crossed between
-    failure domains.
+    ``sent_bytes`` and ``sent`` count by sender, ``remote_bytes`` counts the traffic
+    between failure domains.
     """
 
     def __init__(self, domain_of) -> None:
@@ -124,8 +125,8 @@
         self.listening: dict[str, ConnectionHandler] = {}
         self.tasks: set[asyncio.Task] = set()
         self.dead: set[str] = set()
-        self.cut_off: set[str] = set()
-        """Daemons that reach each other, and none of the others."""
+        self.partitioned: set[str] = set()
+        """Daemons that can reach each other but none of the others."""
         self.dials = Counter()
         self.reset_counts()
 
@@ -134,35 +135,37 @@
         self.sent_bytes = Counter()
         self.remote_bytes = 0
 
-    def is_joined(self, one: str, other: str) -> bool:
+    def can_reach(self, one: str, other: str) -> bool:
         if one in self.dead or other in self.dead:
             return False
-        return (one in self.cut_off) == (other in self.cut_off)
+        return (one in self.partitioned) == (other in self.partitioned)
 
-    def make_pair(self, dialler: str, listener: str):
-        mine = VirtualConnection(self, dialler, listener)
-        theirs = VirtualConnection(self, listener, dialler)
-        mine.other, theirs.other = theirs, mine
-        return mine, theirs
+    def make_pair(self, dialer: str, listener: str):
+        dialed = VirtualConnection(self, dialer, listener)
+        accepted = VirtualConnection(self, listener, dialer)
+        dialed.other, accepted.other = accepted, dialed
+        return dialed, accepted
 
-    def carry(self, sender: VirtualConnection, data: bytes) -> None:
+    def deliver(self, sender: VirtualConnection, data: bytes) -> None:
         self.sent[sender.own] += 1
         self.sent_bytes[sender.own] += len(data)
-        is_far = self._domain_of(sender.own) != self._domain_of(sender.peer)
-        self.remote_bytes += is_far * len(data)
-        if self.is_joined(sender.own, sender.peer):
-            sender.deliver_after(FAR_S if is_far else NEAR_S, data)
+        is_remote = self._domain_of(sender.own) != self._domain_of(sender.peer)
+        self.remote_bytes += is_remote * len(data)
+        if self.can_reach(sender.own, sender.peer):
+            sender.deliver_after(
+                CROSS_DOMAIN_DELAY_S if is_remote else LOCAL_DELAY_S, data
+            )
 
 
 class VirtualFleet:
-    """Daemons over some failure domains, the first of each on large VMs."""
+    """Daemons in several failure domains, the first of each on large VMs."""
 
     def __init__(self, count: int, domains: int = 6, seed: int = 1) -> None:
         self.domains = domains
         self.names = [f"d{number:03}" for number in range(count)]
         self.network = VirtualNetwork(lambda address: self.domain(address[:4]))
         self.meshes: dict[str, Mesh] = {}
-        self.heard: dict[str, list[tuple[float, bytes]]] = {}
+        self.received: dict[str, list[tuple[float, bytes]]] = {}
         self._rng = random.Random(seed)
         self._boots = 0
 
@@ -179,12 +182,12 @@
         address = f"{name}:1"
         self.network.dead.discard(address)
         self._boots += 1
-        is_large = int(name[1:]) < LARGE_PER_DOMAIN * self.domains
+        is_large = int(name[1:]) < LARGE_VMS_PER_DOMAIN * self.domains
         daemon = SimpleNamespace(id=name, address=name, peer_port=1, peer_key="")
         core = SimpleNamespace(
             daemon=daemon,
             rng=random.Random(self._rng.random()),
-            events=_Silent(),
+            events=_NullEventLog(),
             metrics=Metrics(),
             clock=loop.time,
         )
@@ -203,21 +206,21 @@
         )
         transport = VirtualTransport(self.network, address)
         mesh = Mesh(core, SETTINGS, MemberTable(own), transport)
-        self.heard[name] = []
+        self.received[name] = []
         directory = Directory(mesh.table, 1.0)
 
-        def choose_links() -> None:
+        def update_direct_links() -> None:
             serving = directory.serving()
             mesh.direct = serving - {name} if name in serving else set()
 
-        mesh.on_members_changed = choose_links
-        mesh.on_broadcast = lambda news: self.heard[name].append(
-            (loop.time(), news.body)
+        mesh.on_members_changed = update_direct_links
+        mesh.on_broadcast = lambda message: self.received[name].append(
+            (loop.time(), message.body)
         )
         return mesh
 
     async def async_kill(self, names) -> None:
-        """End daemons at once; nobody is told."""
+        """Stop daemons abruptly, without notice to their peers."""
         for name in names:
             self.network.dead.add(f"{name}:1")
             self.network.listening.pop(f"{name}:1", None)
@@ -226,37 +229,39 @@
                 link.connection.abort()
             await mesh.stop()
 
-    def views_missing(self) -> dict[str, int]:
-        """Return the daemons that don't take exactly the running ones to be alive."""
+    def inaccurate_views(self) -> dict[str, int]:
+        """Return the daemons with a wrong view of the live ones, and by how many."""
         running = set(self.meshes)
-        missing = {}
+        off_by = {}
         for name, mesh in self.meshes.items():
             rows = mesh.table.rows.values()
-            alive = {m.id for m in rows if m.state is MemberState.ALIVE}
-            if alive != running:
-                missing[name] = len(alive ^ running)
-        return missing
+            live = {m.id for m in rows if m.state is MemberState.ALIVE}
+            if live != running:
+                off_by[name] = len(live ^ running)
+        return off_by
 
-    async def async_until_agreed(self, limit_s: float) -> float:
-        """Return how long it took until all agree who is alive."""
+    async def async_until_converged(self, limit_s: float) -> float:
+        """Wait until all views match the running daemons; return how long it took."""
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        while missing := self.views_missing():
-            assert loop.time() - began_s < limit_s, missing
+        started_s = loop.time()
+        while inaccurate := self.inaccurate_views():
+            assert loop.time() - started_s < limit_s, inaccurate
             await asyncio.sleep(0.1)
-        return loop.time() - began_s
+        return loop.time() - started_s
 
-    async def async_reach(self, origin: str, wait_s: float = 0.5) -> set[str]:
-        """Return which of the other running daemons hear a broadcast."""
+    async def async_broadcast_receivers(
+        self, origin: str, wait_s: float = 0.5
+    ) -> set[str]:
+        """Send a broadcast and return which running daemons receive it."""
         body = self._rng.randbytes(16)
         self.meshes[origin].broadcast(body, "test")
         await asyncio.sleep(wait_s)
-        hearers = {
+        receivers = {
             name
-            for name, heard in self.heard.items()
-            if any(told == body for _, told in heard)
+            for name, received in self.received.items()
+            if any(other == body for _, other in received)
         }
-        return hearers & set(self.meshes)
+        return receivers & set(self.meshes)
 
     async def async_stop(self) -> None:
         await self.async_kill(list(self.meshes))
