--- a/chutelink/peers/dialing.py
+++ b/chutelink/peers/dialing.py
@@ -10,6 +10,7 @@
 from .transport import ConnectionHandler, PeerConnection, PeerTransport
 
 REDIAL_DELAY_S = 2.0
+"""Longest delay before an address is dialled again; it varies at random."""
 SEED_DIALS = 3
 
 
@@ -19,7 +20,7 @@
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that this daemon runs.
     settings : PeersSection
         The configured seeds.
     own_address : str
@@ -27,7 +28,7 @@
     transport : PeerTransport
         Opens connections.
     async_run : callable
-        Serves a connection until it ends.
+        Handles a connection until it ends.
     """
 
     def __init__(
--- a/chutelink/peers/link_manager.py
+++ b/chutelink/peers/link_manager.py
@@ -34,7 +34,7 @@
         The open links; the caller adds and removes them.
     dialer : Dialer
         Opens links.
-    spreader : Spreader
+    disseminator : Disseminator
         Provides the topology and sends member updates to the peers.
     """
 
@@ -116,8 +116,8 @@
         # While a fleet starts, a daemon would choose most of the few members that it
         # has discovered as serving ones, and open links to all of them.
         if now_s - self._table.grew_s > MEMBERSHIP_SETTLE_S:
-            direct = self._direct_members()
-            wanted |= {m.peer_address for m in direct if m.id not in linked}
+            members = self._direct_members()
+            wanted |= {m.peer_address for m in members if m.id not in linked}
         wanted |= self._addresses_to_dial(neighbours, linked, now_s)
         known = self._disseminator.topology.addresses
         wanted |= self._dialer.pick_seeds(known, is_linked=bool(linked))
--- a/chutelink/peers/silence.py
+++ b/chutelink/peers/silence.py
@@ -13,7 +13,7 @@
 
     Parameters
     ----------
-    longest_s : float
+    max_silence_s : float
         Healthy peers are never all silent for longer than this.
     """
 
