--- a/chutelink/learning/prefixes.py
+++ b/chutelink/learning/prefixes.py
@@ -1,4 +1,4 @@
-"""Which beginnings of prompts endpoints have read lately."""
+"""Estimate of the prompt prefixes in the endpoints' prefix caches."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from ..entry.dialect import PromptPart
 from ..ids import AdapterName, EndpointId, ModelName
 
-MAX_BEGINNINGS = 400
-"""Kept for each endpoint; its memory holds some 40 prompts with their parts."""
-VALID_S = 20.0
-"""After this a beginning has most likely given way to others."""
+MAX_PREFIXES = 400
+"""Prefixes kept per endpoint, whose cache holds some 40 prompts with their parts."""
+PREFIX_TTL_S = 20.0
+"""After this time a prefix has most likely been evicted from the cache."""
 
 
 def hash_chain(
     model: ModelName, adapter: AdapterName, prompt: tuple[PromptPart, ...]
 ) -> tuple[int, ...]:
-    """Return a hash of each beginning of a prompt, for one model and adapter."""
+    """Return the hashes of all prefixes of a prompt, for one model and adapter."""
     value = zlib.crc32(f"{model}/{adapter}".encode())
     chain = []
     for part in prompt:
@@ -27,7 +27,7 @@
 
 
 class PrefixTable:
-    """Hashes of beginnings by endpoint, the least recently used ones dropped."""
+    """Hashes of prefixes by endpoint, with eviction of the least recently used."""
 
     def __init__(self) -> None:
         self._seen: dict[EndpointId, OrderedDict[int, float]] = {}
@@ -35,26 +35,26 @@
     def note(
         self, endpoint: EndpointId, chain: tuple[int, ...] | list[int], now_s: float
     ) -> None:
-        """Take in that an endpoint reads a prompt."""
+        """Record that a prompt was sent to an endpoint."""
         seen = self._seen.setdefault(endpoint, OrderedDict())
         for value in chain:
             seen[value] = now_s
             seen.move_to_end(value)
-        while len(seen) > MAX_BEGINNINGS:
+        while len(seen) > MAX_PREFIXES:
             seen.popitem(last=False)
 
     def cached_parts(
         self, endpoint: EndpointId, chain: tuple[int, ...], now_s: float
     ) -> int:
-        """Return how many parts from the beginning are most likely kept."""
+        """Return how many leading parts of a prompt are most likely cached."""
         seen = self._seen.get(endpoint)
         if seen is None:
             return 0
         for index, value in enumerate(chain):
-            if now_s - seen.get(value, float("-inf")) > VALID_S:
+            if now_s - seen.get(value, float("-inf")) > PREFIX_TTL_S:
                 return index
         return len(chain)
 
     def forget(self, endpoint: EndpointId) -> None:
-        """Drop what an endpoint that is gone has read."""
+        """Remove an endpoint that no longer exists."""
         self._seen.pop(endpoint, None)
--- a/chutelink/peers/mesh.py
+++ b/chutelink/peers/mesh.py
@@ -1,8 +1,8 @@
-"""Membership, and the links that carry what daemons tell each other.
+"""Membership of the fleet and the links between its daemons.
 
 A small fleet is a full mesh; in a larger one daemons link to hubs of their failure
-domain, which forward (see ``topology``). A neighbour that goes silent is suspected,
-and declared down unless it refutes.
+domain, which forward messages (see ``topology``). A neighbour that falls silent is
+suspected, and declared down unless it refutes the suspicion in time.
 """
 
 from __future__ import annotations
@@ -20,7 +20,9 @@
 from ..tables.members import Member, MemberState, MemberTable
 from ..tables.queues import QueueTable
 from .dialing import Dialer
+from .dissemination import Disseminator
 from .link import Link
+from .link_manager import LinkManager
 from .messages import (
     Broadcast,
     ConfigBody,
@@ -28,36 +30,36 @@
     Direct,
     Heartbeat,
     Hello,
-    MemberNews,
+    MemberUpdate,
     Message,
     QueueNews,
     decode_message,
     encode_message,
-    kind_of,
+    message_kind,
 )
 from .silence import PeerSilence
-from .spreading import Spreader
 from .traffic import TrafficMeter
 from .transport import PeerConnection, PeerTransport, WebsocketTransport
-from .upkeep import LinkKeeper
 
-GOODBYE_S = 0.05
-SPREAD = 0.3
+LEAVE_FLUSH_S = 0.05
+"""How long a stopping daemon waits for its last messages to be sent."""
+HEARTBEAT_JITTER = 0.3
+"""Largest share by which a heartbeat interval is shortened at random."""
 
 
 class Mesh(Service):
-    """Keeps links, membership and the spread of configuration versions.
+    """Maintains links and membership, and announces configuration versions.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that this daemon runs.
     settings : PeersSection
-        How many links, and how long a silence may be.
+        Seeds, number of hubs and timeouts.
     table : MemberTable
-        Filled by this service.
+        The members; updated by this service.
     transport : PeerTransport, optional
-        How peers are reached; websockets by default.
+        Connects peers; websockets by default.
     """
 
     def __init__(
@@ -74,8 +76,8 @@
         self._links: set[Link] = set()
         self.queues = QueueTable()
         self._traffic = TrafficMeter()
-        self._counted_changes = -1
-        self._spreader = Spreader(
+        self._counted_table_changes = -1
+        self._disseminator = Disseminator(
             table,
             self._links,
             settings.hubs_per_domain,
@@ -91,123 +93,123 @@
         self._dialer = Dialer(
             core, settings, own_address, self._transport, self._async_run
         )
-        self._keeper = LinkKeeper(
-            core, settings, table, self._links, self._dialer, self._spreader
+        self._link_manager = LinkManager(
+            core, settings, table, self._links, self._dialer, self._disseminator
         )
         self._silence = PeerSilence(settings.peer_timeout_s)
-        self.on_broadcast: Callable[[Broadcast], None] = lambda news: None
+        self.on_broadcast: Callable[[Broadcast], None] = lambda message: None
         self.on_direct: Callable[[DaemonId, bytes], None] = lambda origin, body: None
         self.config_version: Callable[[], ConfigVersion] = lambda: ConfigVersion(0)
         self.config_body: Callable[[], ConfigBody | None] = lambda: None
         self.on_config_version: Callable[[ConfigVersion], None] = lambda version: None
         self.on_members_changed: Callable[[], None] = lambda: None
-        """Called once for each batch of changes."""
+        """Called once for each batch of member updates."""
         self.on_config_body: Callable[[ConfigBody], None] = lambda body: None
 
     @property
     def direct(self) -> set[DaemonId]:
-        """The members that this daemon wants links of its own with."""
-        return self._keeper.direct
+        """The members that this daemon keeps direct links to, besides neighbours."""
+        return self._link_manager.direct
 
     @direct.setter
     def direct(self, members: set[DaemonId]) -> None:
-        self._keeper.direct = members
+        self._link_manager.direct = members
 
     async def on_start(self) -> None:
-        """Listen for peers."""
+        """Start to accept connections from peers."""
         await self._transport.async_listen(self._async_run)
 
     async def on_stop(self) -> None:
-        """Say goodbye to the peers and close all links."""
-        self._spread_own_state(MemberState.LEFT)
-        self._spreader.flush_members()
-        await asyncio.sleep(GOODBYE_S)
+        """Announce that this daemon has left, and close all links."""
+        self._announce_own_state(MemberState.LEFT)
+        self._disseminator.flush_member_updates()
+        await asyncio.sleep(LEAVE_FLUSH_S)
         self._dialer.cancel()
         await self._transport.async_stop()
 
     def set_seeds(self, addresses: set[str]) -> None:
-        """Take peers that the VM list names beside those of the settings."""
+        """Set the seeds from the VM list, in addition to the configured ones."""
         self._dialer.set_seeds(addresses)
 
     def announce_alive(self) -> None:
-        """Tell the peers that this daemon does its work from now on."""
-        self._spread_own_state(MemberState.ALIVE)
+        """Announce that this daemon is in service."""
+        self._announce_own_state(MemberState.ALIVE)
 
     def announce_leaving(self) -> None:
-        """Tell the peers that this daemon takes no new work soon."""
-        self._spread_own_state(MemberState.LEAVING)
+        """Announce that this daemon will soon stop accepting work."""
+        self._announce_own_state(MemberState.LEAVING)
 
-    def _spread_own_state(self, state: MemberState) -> None:
+    def _announce_own_state(self, state: MemberState) -> None:
         member = self.table.set_own_state(state)
-        self._spreader.spread_member(member, is_local=True)
+        self._disseminator.send_member_update(member, is_local=True)
 
     def announce_config(self) -> None:
-        """Tell the peers at once of a newer version."""
+        """Announce a new configuration version ahead of the next heartbeat."""
         for link in self._links:
             link.send(Heartbeat(self.config_version()))
 
     def request_config(self, version: ConfigVersion) -> None:
-        """Ask one linked peer that has at least a version for its body."""
+        """Request the configuration from one peer that has at least this version."""
         for link in self._links:
             if link.config_version >= version:
                 link.send(ConfigRequest())
                 return
 
     def alone_until_s(self) -> float:
-        """Return when this daemon last heard none of the others for long."""
+        """Return until when this daemon last received nothing from any peer."""
         return self._silence.alone_until_s(self._core.clock())
 
     def linked_members(self) -> set[DaemonId]:
-        """Return the members that this daemon has a link with."""
+        """Return the ids of the members that this daemon has links to."""
         return {link.member.id for link in self._links if link.member is not None}
 
     def highest_peer_version(self) -> ConfigVersion:
-        """Return the highest version that a linked peer has in force."""
+        """Return the highest configuration version that a linked peer has in force."""
         versions = [link.config_version for link in self._links]
         return max(versions, default=ConfigVersion(0))
 
     async def _async_run(self, connection: PeerConnection) -> None:
-        """Serve a connection that either side has opened until it ends."""
+        """Handle a connection, accepted or dialled, until it ends."""
         link = Link(connection, self.table.own, self._traffic)
-        link.heard_s = link.opened_s = self._core.clock()
+        link.last_received_s = link.opened_s = self._core.clock()
         members = list(self.table.rows.values())
         link.send(Hello(self.table.own, members, self.config_version()))
         self._links.add(link)
         writer = asyncio.ensure_future(link.async_write_loop())
         try:
             async for data in link.connection:
-                link.heard_s = self._core.clock()
-                self._silence.note_heard(link.heard_s)
+                link.last_received_s = self._core.clock()
+                self._silence.note_heard(link.last_received_s)
                 message = decode_message(data, self._peer_name(link))
                 link.note_received(message, len(data))
-                self._take(link, message)
+                self._handle_message(link, message)
         except PeerMessageInvalid as error:
             self._core.events.warning("peer_message_invalid", error=error)
         finally:
             self._links.discard(link)
-            self._keeper.note_lost(link)
+            self._link_manager.note_link_lost(link)
             writer.cancel()
             self._core.metrics.peer_links.set({}, len(self._links))
 
     def _peer_name(self, link: Link) -> str:
         return link.member.id if link.member is not None else "unknown"
 
-    def _take(self, link: Link, message: Message) -> None:
+    def _handle_message(self, link: Link, message: Message) -> None:
         if isinstance(message, Hello):
             link.member = message.member
             self._core.metrics.peer_links.set({}, len(self._links))
-            self._take_members(link, [message.member, *message.members])
-            self._take_version(link, message.config_version)
+            self._handle_members(link, [message.member, *message.members])
+            self._handle_config_version(link, message.config_version)
         elif isinstance(message, Heartbeat):
             link.linked = frozenset(message.linked)
-            link.peer_wants = message.is_wanted
-            self._take_version(link, message.config_version)
-        elif isinstance(message, MemberNews):
-            self._take_members(link, message.members)
+            link.is_wanted_by_peer = message.is_wanted
+            self._handle_config_version(link, message.config_version)
+        elif isinstance(message, MemberUpdate):
+            self._handle_members(link, message.members)
         elif isinstance(message, QueueNews):
-            self._take_queue(message, link)
+            self._handle_queue_update(message, link)
         elif isinstance(message, Broadcast):
-            if self._spreader.take(message, link):
+            if self._disseminator.receive_broadcast(message, link):
                 self.on_broadcast(message)
         elif isinstance(message, Direct):
             if link.member is not None:
@@ -219,20 +221,20 @@
         elif isinstance(message, ConfigBody):
             self.on_config_body(message)
 
-    def _take_members(self, link: Link, members: list[Member]) -> None:
+    def _handle_members(self, link: Link, members: list[Member]) -> None:
         for member in members:
-            news = self.table.merge(member, self._core.clock())
-            if news is not None:
-                is_own = news.id == self.table.own.id
-                self._spreader.spread_member(news, is_local=is_own)
-                self._keeper.note_news(news)
+            update = self.table.merge(member, self._core.clock())
+            if update is not None:
+                is_own = update.id == self.table.own.id
+                self._disseminator.send_member_update(update, is_local=is_own)
+                self._link_manager.note_member_update(update)
 
     def publish_queue(
         self, waiting: dict[str, int], callers_per_s: dict[str, float]
     ) -> None:
-        """Tell all daemons what waits in this gateway and who uses it."""
+        """Send this gateway's queued requests and caller rates to all daemons."""
         own = self.table.own
-        news = QueueNews(
+        update = QueueNews(
             own.id,
             own.boot_id,
             own.failure_domain,
@@ -240,25 +242,25 @@
             waiting,
             callers_per_s,
         )
-        self._take_queue(news, None)
+        self._handle_queue_update(update, None)
 
-    def _take_queue(self, news: QueueNews, source: Link | None) -> None:
-        if not self.queues.merge(news, self._core.clock()):
+    def _handle_queue_update(self, update: QueueNews, source: Link | None) -> None:
+        if not self.queues.merge(update, self._core.clock()):
             return
         if source is None:
-            self._spreader.send_own(news)
+            self._disseminator.send_to_all(update)
         else:
-            self._spreader.forward_from(news.gateway, news, source)
+            self._disseminator.forward(update.gateway, update, source)
 
     def broadcast(self, body: bytes, topic: str) -> None:
-        """Tell all daemons something."""
-        self._spreader.broadcast(body, topic)
+        """Send a message to all daemons."""
+        self._disseminator.broadcast(body, topic)
 
     def send_to(self, members: set[DaemonId], body: bytes, topic: str) -> None:
-        """Tell some linked daemons, and nobody else."""
-        self._spreader.send_to(members, body, topic)
+        """Send a message to some linked daemons, without forwarding."""
+        self._disseminator.send_to(members, body, topic)
 
-    def _take_version(self, link: Link, version: ConfigVersion) -> None:
+    def _handle_config_version(self, link: Link, version: ConfigVersion) -> None:
         link.config_version = version
         if version > self.config_version():
             self.on_config_version(version)
@@ -267,17 +269,19 @@
     async def _async_tick_loop(self) -> None:
         while not self.should_stop:
             self._tick()
-            pause_s = self._settings.heartbeat_interval_s
-            await self.sleep(pause_s * self._core.rng.uniform(1 - SPREAD, 1.0))
+            interval_s = self._settings.heartbeat_interval_s
+            await self.sleep(
+                interval_s * self._core.rng.uniform(1 - HEARTBEAT_JITTER, 1.0)
+            )
 
     def _tick(self) -> None:
         now_s = self._core.clock()
-        self._keeper.tick(now_s)
+        self._link_manager.tick(now_s)
         self._send_heartbeats()
         self._traffic.export(self._core.metrics)
         self._traffic.log(self._core.events, now_s)
-        if self._counted_changes != self.table.changes:
-            self._counted_changes = self.table.changes
+        if self._counted_table_changes != self.table.changes:
+            self._counted_table_changes = self.table.changes
             self._count_members()
 
     def _count_members(self) -> None:
@@ -286,13 +290,13 @@
             self._core.metrics.members.set({"state": state.value}, counts[state])
 
     def _send_heartbeats(self) -> None:
-        # Only where all link to all does this keep news from being forwarded.
-        is_full = self._spreader.topology.is_full_mesh
-        linked_ids = sorted(self.linked_members()) if is_full else []
+        # Only in a full mesh do the linked ids save forwarding: see Disseminator.
+        is_full = self._disseminator.topology.is_full_mesh
+        linked = sorted(self.linked_members()) if is_full else []
         version = self.config_version()
         encoded: dict[bool, bytes] = {}
         for link in self._links:
             if link.is_wanted not in encoded:
-                heartbeat = Heartbeat(version, linked_ids, link.is_wanted)
+                heartbeat = Heartbeat(version, linked, link.is_wanted)
                 encoded[link.is_wanted] = encode_message(heartbeat)
-            link.send_encoded(encoded[link.is_wanted], kind_of(Heartbeat(version)))
+            link.send_encoded(encoded[link.is_wanted], message_kind(Heartbeat(version)))
--- a/chutelink/peers/traffic.py
+++ b/chutelink/peers/traffic.py
@@ -1,4 +1,4 @@
-"""What the links carry, by kind of message."""
+"""Traffic counters of the peer links, by kind of message."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Direction(Enum):
-    """Which way a message went."""
+    """The direction of a message."""
 
     SENT = "sent"
     RECEIVED = "received"
@@ -26,7 +26,7 @@
 
 
 class _Volume:
-    """Messages and their bytes, since the last export."""
+    """Counts of messages and their bytes."""
 
     def __init__(self) -> None:
         self.messages = 0
@@ -44,8 +44,10 @@
         self._pending: dict[tuple[str, Direction, Scope], _Volume] = defaultdict(
             _Volume
         )
-        self._logged: dict[tuple[str, Direction], _Volume] = defaultdict(_Volume)
-        self._logged_s: float | None = None
+        self._since_last_log: dict[tuple[str, Direction], _Volume] = defaultdict(
+            _Volume
+        )
+        self._last_log_s: float | None = None
 
     def note(
         self, kind: str, direction: Direction, size_bytes: int, *, is_remote: bool
@@ -55,7 +57,7 @@
         self._pending[kind, direction, scope].add(1, size_bytes)
 
     def export(self, metrics: Metrics) -> None:
-        """Add what was counted since the last export to the metrics."""
+        """Add the counts since the last export to the metrics."""
         for (kind, direction, scope), volume in self._pending.items():
             labels = {
                 "kind": kind,
@@ -64,22 +66,24 @@
             }
             metrics.peer_messages.add(labels, volume.messages)
             metrics.peer_bytes.add(labels, volume.size_bytes)
-            self._logged[kind, direction].add(volume.messages, volume.size_bytes)
+            self._since_last_log[kind, direction].add(
+                volume.messages, volume.size_bytes
+            )
         self._pending.clear()
 
     def log(self, events: EventLog, now_s: float) -> None:
-        """Write what was exported since the last line, if a period has passed."""
-        if self._logged_s is None:
-            self._logged_s = now_s
-        period_s = now_s - self._logged_s
+        """Log the exported counts once every ``LOG_PERIOD_S``."""
+        if self._last_log_s is None:
+            self._last_log_s = now_s
+        period_s = now_s - self._last_log_s
         if period_s < LOG_PERIOD_S:
             return
         fields = {
             f"{kind}_{direction.value}": f"{volume.messages}/{volume.size_bytes}"
             for (kind, direction), volume in sorted(
-                self._logged.items(), key=lambda item: -item[1].size_bytes
+                self._since_last_log.items(), key=lambda item: -item[1].size_bytes
             )
         }
         events.info("peer_traffic", period_s=period_s, **fields)
-        self._logged.clear()
-        self._logged_s = now_s
+        self._since_last_log.clear()
+        self._last_log_s = now_s
--- a/tests/peers/test_mesh.py
+++ b/tests/peers/test_mesh.py
@@ -1,11 +1,11 @@
-"""Links between real meshes on loopback."""
+"""Links between meshes over websockets on loopback."""
 
 from __future__ import annotations
 
 import asyncio
 
 from bench.capacity_mesh import _make_mesh
-from chutelink.peers import upkeep
+from chutelink.peers import link_manager
 
 WAIT_S = 10.0
 
@@ -16,9 +16,12 @@
             await asyncio.sleep(0.02)
 
 
-def test_a_link_that_neither_side_needs_is_closed(monkeypatch):
-    """Kept by one side that needs it; at a start neighbours change with each find."""
-    monkeypatch.setattr(upkeep, "UNWANTED_S", 0.1)
+def test_a_link_is_closed_once_neither_side_needs_it(monkeypatch):
+    """The link stays open as long as one side needs it.
+
+    Neighbours change with each daemon that is discovered while a fleet starts.
+    """
+    monkeypatch.setattr(link_manager, "MIN_LINK_AGE_S", 0.1)
 
     async def async_test():
         one, other = _make_mesh(0), _make_mesh(1)
@@ -26,10 +29,10 @@
             await one.start()
             await other.start()
             await async_until(lambda: one._links and other._links)
-            one._keeper._neighbours = list
+            one._link_manager._neighbours = list
             await asyncio.sleep(1.5)
             assert one._links and other._links
-            other._keeper._neighbours = list
+            other._link_manager._neighbours = list
             await async_until(lambda: not one._links and not other._links)
         finally:
             await one.stop()
