--- a/chutelink/store/__init__.py
+++ b/chutelink/store/__init__.py
@@ -1,4 +1,7 @@
-"""Where lasting state is kept: tables, objects and the VM list, run by others."""
+"""Clients of the platform services that hold durable state.
+
+The platform provides a table service, an object store and the VM list.
+"""
 
 from .base import (
     UNREADABLE,
--- a/chutelink/store/base.py
+++ b/chutelink/store/base.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform, as abstract base classes."""
+"""Abstract base classes of the platform services that the system depends on."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 ABSENT_VERSION = 0
 UNREADABLE = {"unreadable": True}
-"""Value of a row whose bytes no program of ours wrote, and nobody can read.
+"""Value of a row that cannot be decoded because another program wrote it.
 
-The row is there, and means nothing; the others of its table hold.
+The row exists but carries no data; the other rows of the table stay valid.
 """
 
 
 class Row(msgspec.Struct, frozen=True):
     """A row of the table service.
 
-    ``version`` rises over the whole table with each write; ``write_id`` names
-    the transaction that wrote the row last; ``value`` is JSON.
+    ``version`` comes from a counter that increases with each write to the table;
+    ``write_id`` identifies the last transaction that wrote the row; ``value`` is JSON.
     """
 
     key: str
@@ -32,10 +32,10 @@
 
 
 class RowPage(msgspec.Struct, frozen=True):
-    """Rows of a prefix, and the highest version that the answer covers.
+    """Rows of a prefix, and the highest version that the response covers.
 
-    ``answered_s`` is what the service's steady clock showed then, 0 where it has none.
-    Versions can be compared within one ``era`` only.
+    ``answered_s`` is the service's monotonic clock at the time of the response, or 0
+    if the service has none. Versions are only comparable within one ``era``.
     """
 
     version: int
@@ -44,26 +44,26 @@
     era: StoreEra = NO_ERA
 
     def get(self, key: str) -> Row | None:
-        """Return the row of a key, if it is in the page."""
+        """Return the row for a key, or None if the page does not contain it."""
         return next((row for row in self.rows if row.key == key), None)
 
 
 class Check(msgspec.Struct, frozen=True):
-    """A condition: the row has this version, 0 for absent."""
+    """A precondition: the row has this version; 0 means that it does not exist."""
 
     key: str
     version: int
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A new value for a row, as JSON types; None deletes it."""
+    """A new value for a row, as JSON types; None deletes the row."""
 
     key: str
     value: Any
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that take effect together if all checks hold."""
+    """Writes that are applied atomically if all checks hold."""
 
     id: WriteId
     checks: tuple[Check, ...]
@@ -71,10 +71,11 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """A transaction that took effect: the version of its writes, and their era.
+    """A committed transaction: the version of its writes, and their era.
 
-    Conditions on versions of an earlier era held by chance, or because the rows had
-    not changed since the copy that the service came back from.
+    If the checks named versions of an earlier era, they held by coincidence, or
+    because the rows had not changed since the backup that the service was restored
+    from.
     """
 
     version: int
@@ -82,14 +83,14 @@
 
 
 class VmState(Enum):
-    """What the VM list says of a VM."""
+    """State of a VM in the VM list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """A VM of the list, which may lag behind."""
+    """An entry of the VM list; it may be out of date."""
 
     id: VmId
     failure_domain: FailureDomainName
@@ -99,16 +100,16 @@
 
 
 class TableService(ABC):
-    """Rows with versions, changed by conditional transactions."""
+    """Versioned rows that are changed by conditional transactions."""
 
     @abstractmethod
     async def async_read(self, prefix: str, after_version: int = 0) -> RowPage:
-        """Return rows of a prefix that changed after a version.
+        """Return the rows of a prefix that changed after a version.
 
         Raises
         ------
         PlatformUnavailable
-            When there is no answer in time.
+            The service did not respond in time.
         """
 
     @abstractmethod
@@ -118,57 +119,58 @@
         Raises
         ------
         TransactionConflict
-            A check did not hold; nothing was changed.
+            A check did not hold; no write was applied.
         PlatformUnavailable
-            Nothing was changed.
+            No write was applied.
         WriteOutcomeUnknown
-            The reply was lost; the writes may have taken effect, or still may.
+            The response was lost; the writes may have been applied, or may still be.
         """
 
 
 class WatchedTable(TableService):
-    """A table service that also waits for changes and may drop its history."""
+    """A table service that supports waiting for changes and may drop old changes."""
 
     @abstractmethod
     async def async_watch(
         self, prefix: str, after_version: int, wait_s: float
     ) -> RowPage:
-        """Return rows that changed after a version, as soon as there is one.
+        """Wait until a row changes after a version and return the changed rows.
 
-        A row that was removed is returned with the value None. Without a change
-        the page is empty after ``wait_s``.
+        A deleted row is returned with the value None. If nothing changes within
+        ``wait_s``, the page is empty.
 
         Raises
         ------
         HistoryLost
-            The changes after this version are no longer kept: read all anew.
+            The service no longer has the changes after this version; the caller
+            must read all rows again.
         PlatformUnavailable
-            When there is no answer in time.
+            The service did not respond in time.
         """
 
 
 class ObjectStore(ABC):
-    """Bodies named by their content hash."""
+    """Immutable objects, addressed by their content hash."""
 
     @abstractmethod
     async def async_put(self, name: str, body: bytes) -> None:
-        """Store a body; storing the same one again changes nothing."""
+        """Store an object; storing the same object again has no effect."""
 
     @abstractmethod
     async def async_get(self, name: str) -> bytes | None:
-        """Return a body, or None when there is none of that name."""
+        """Return an object's body, or None if no object has that name."""
 
 
 class VmList(ABC):
-    """The list of live and leaving VMs; it lags."""
+    """The list of live and leaving VMs; it may be out of date."""
 
     @abstractmethod
     async def async_list(self) -> list[Vm]:
-        """Return the VMs as the list has them now."""
+        """Return the current content of the list."""
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """The platform's parts, handed to the programs as one."""
+    """The platform services that a program uses."""
 
     table: TableService
     objects: ObjectStore
--- a/chutelink/store/breaker.py
+++ b/chutelink/store/breaker.py
@@ -1,4 +1,4 @@
-"""A breaker and a call budget before an outside service."""
+"""Circuit breaker and rate limit for calls to an external service."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class Breaker:
-    """Refuses calls for a while after several failures in a row.
+    """Circuit breaker that rejects calls for a while after consecutive failures.
 
-    Pauses are spread at random, so that daemons do not come back together.
+    Pauses are randomized so that the daemons do not all retry at the same time.
 
     Parameters
     ----------
     peer : str
-        The service, for errors.
+        Name of the service, used in error messages.
     calls_per_s : int
-        The most calls a second; one more is refused.
+        Maximum number of calls per second; further calls are rejected.
     clock : callable
-        Seconds on a clock that never goes back.
+        Monotonic clock, in seconds.
     rng : random.Random
-        Source of the spread.
+        Randomizes the pauses.
     max_pause_s : float, default=DEFAULT_MAX_PAUSE_S
-        The longest pause.
+        Upper bound of a pause.
     """
 
     def __init__(
@@ -52,33 +52,43 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether calls are refused now."""
+        """Whether calls are currently rejected."""
         return self._clock() < self._open_until_s
 
     @property
     def is_failing(self) -> bool:
-        """Whether several calls in a row have failed, up to the latest."""
+        """Whether at least ``FAILURES_TO_OPEN`` calls in a row failed, up to now."""
         return self._failures >= FAILURES_TO_OPEN
 
     def before_call(self, step: str) -> None:
-        """Count a call, or refuse it."""
+        """Count a call against the rate limit.
+
+        Raises
+        ------
+        PlatformUnavailable
+            The breaker is open, or the rate limit was reached.
+        """
         if self.is_open:
-            raise PlatformUnavailable("breaker is open", step=step, peer=self._peer)
+            raise PlatformUnavailable(
+                "circuit breaker is open", step=step, peer=self._peer
+            )
         now_s = self._clock()
         if now_s - self._window_start_s >= 1.0:
             self._window_start_s = now_s
             self._window_calls = 0
         if self._window_calls >= self._calls_per_s:
-            raise PlatformUnavailable("call budget spent", step=step, peer=self._peer)
+            raise PlatformUnavailable(
+                "call rate limit reached", step=step, peer=self._peer
+            )
         self._window_calls += 1
         self.calls += 1
 
     def note_success(self) -> None:
-        """Close the breaker."""
+        """Reset the count of consecutive failures."""
         self._failures = 0
 
     def note_failure(self) -> None:
-        """Count a failure; several in a row open the breaker."""
+        """Count a failure; ``FAILURES_TO_OPEN`` in a row open the breaker."""
         self._failures += 1
         if self._failures < FAILURES_TO_OPEN:
             return
--- a/chutelink/store/connections.py
+++ b/chutelink/store/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections of a client session."""
+"""Pooled connections of a client session."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 
 def close_idle_connections(session: aiohttp.ClientSession, url: str) -> int:
-    """Close the kept connections to a service that no call uses; return how many.
+    """Close the idle pooled connections to a service and return their number.
 
-    Where one of them has fallen silent, the others usually have too, and each would
-    cost a later call its time limit. The library has no call for this.
+    If one connection stopped responding without a reset, the others usually did too,
+    and each of them would make a later call time out. aiohttp has no public method
+    for this.
     """
     target = URL(url)
     pool = session.connector._conns
--- a/chutelink/store/http.py
+++ b/chutelink/store/http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP and JSON."""
+"""Platform services over HTTP and JSON."""
 
 from __future__ import annotations
 
@@ -35,36 +35,38 @@
 HTTP_CONFLICT = 409
 
 
-OWN_DIALECT_STATUSES = frozenset({HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT})
-"""What the services of the project's own protocol answer when they are well."""
+DEFAULT_STATUSES = frozenset({HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT})
+"""Statuses that a healthy service of the project's own protocol returns."""
 
 
 SECOND_TRY_SHARE = 0.4
-"""Share of the time limit after which a read is sent again, on a new connection.
+"""Fraction of the timeout after which a read is retried on a new connection.
 
-Guards against a kept connection that has fallen silent, which only a time limit shows.
-Most answers take some 10 ms; slow ones take half of the limit and are waited for.
+Covers a pooled connection that no longer responds but was not reset, which only a
+timeout detects. Most responses take about 10 ms; slow ones take half of the timeout,
+so the first attempt is kept open during the retry.
 """
-MIN_LAG_S = 0.02
-"""Timers that are later than this show that the event loop was blocked."""
+MIN_LOOP_LAG_S = 0.02
+"""Timer delay above which the event loop is considered to have been blocked."""
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Status, body and headers of a platform's answer."""
+    """Status, body and headers of a response from a platform service."""
 
     status: int
     body: bytes
     headers: Mapping[str, str] = {}
 
 
-_Send = Callable[[], Awaitable[Answer]]
+_SendAttempt = Callable[[], Awaitable[Answer]]
 
 
 class ReadRetry(msgspec.Struct, frozen=True):
-    """A read that is sent a second time because there was no answer.
+    """A read that is retried because there was no response.
 
-    ``waited_s`` is how long, ``lag_s`` how much of it the event loop was blocked;
-    ``closed`` is how many kept connections are not used again.
+    ``waited_s`` is the time waited before the retry, ``lag_s`` the part of it during
+    which the event loop was blocked, and ``closed`` the number of pooled connections
+    that were closed.
     """
 
     step: str
@@ -73,28 +75,28 @@
     closed: int
 
 
-class _CommitAnswer(msgspec.Struct, frozen=True):
-    """What the table service says of a transaction."""
+class _TransactionResponse(msgspec.Struct, frozen=True):
+    """Response of the table service to a transaction."""
 
     version: int = 0
     conflict: str = ""
 
 
 class HttpCaller:
-    """Calls one of the platform's services with a time limit and a breaker.
+    """Calls a platform service with a timeout and a circuit breaker.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Keeps connections.
+        Pools the connections.
     settings : PlatformSection
-        Where the service is, and the limits.
+        URL, key and limits.
     peer : str
-        Its name, for errors.
+        Name of the service, used in error messages.
     statuses : frozenset of int
-        What it answers when it is well.
+        Statuses that a healthy service returns.
     on_retry : callable, optional
-        Called with each second try of a read. Without it reads are sent once.
+        Called with each retry of a read. Without it, reads are not retried.
     """
 
     def __init__(
@@ -102,7 +104,7 @@
         session: aiohttp.ClientSession,
         settings: PlatformSection,
         peer: str,
-        statuses: frozenset[int] = OWN_DIALECT_STATUSES,
+        statuses: frozenset[int] = DEFAULT_STATUSES,
         on_retry: Callable[[ReadRetry], None] | None = None,
     ) -> None:
         self._session = session
@@ -132,12 +134,21 @@
         is_read: bool = False,
         wait_s: float = 0.0,
     ) -> Answer:
-        """Send one call; classify what goes wrong by whether it can matter.
-
-        ``wait_s`` is how much longer the answer may be held back by the service. A
-        read is sent a second time when there is no answer for long, then with
-        ``retry_params``: what is left of the time limit allows no wait. While calls
-        fail it is sent once: the connections that fell silent are closed by then.
+        """Send a call and classify failures by whether it may have taken effect.
+
+        ``wait_s`` is the time by which the service may delay its response, as in a
+        long poll; it is added to the timeout. A read without a response is retried
+        once, with ``retry_params``, because the rest of the timeout leaves no time
+        for a long poll. Reads are not retried while calls are failing: by then the
+        unresponsive connections are closed.
+
+        Raises
+        ------
+        PlatformUnavailable
+            The service could not be reached, did not respond in time or returned an
+            unexpected status.
+        WriteOutcomeUnknown
+            A conditional write was sent but its response was lost.
         """
 
         async def async_send(query: dict[str, str] | None) -> Answer:
@@ -154,15 +165,15 @@
 
         try:
             async with asyncio.timeout(self._settings.timeout_s + wait_s):
-                may_repeat = is_read and self._on_retry is not None
-                if may_repeat and not self.breaker.is_failing:
-                    tries = (
+                may_retry = is_read and self._on_retry is not None
+                if may_retry and not self.breaker.is_failing:
+                    attempts = (
                         functools.partial(async_send, params),
                         functools.partial(async_send, retry_params or params),
                     )
-                    answer = await self._async_twice(tries, step, wait_s)
+                    response = await self._async_send_with_retry(attempts, step, wait_s)
                 else:
-                    answer = await async_send(params)
+                    response = await async_send(params)
         except aiohttp.ClientConnectorError as error:
             self.breaker.note_failure()
             raise PlatformUnavailable(str(error), step=step, peer=self.peer) from error
@@ -171,73 +182,73 @@
             kind = WriteOutcomeUnknown if is_conditional_write else PlatformUnavailable
             message = str(error) or type(error).__name__
             raise kind(message, step=step, peer=self.peer) from error
-        if answer.status in self._statuses:
+        if response.status in self._statuses:
             self.breaker.note_success()
-            return answer
+            return response
         self.breaker.note_failure()
-        raise PlatformUnavailable(f"status {answer.status}", step=step, peer=self.peer)
+        raise PlatformUnavailable(
+            f"status {response.status}", step=step, peer=self.peer
+        )
 
-    async def _async_twice(
+    async def _async_send_with_retry(
         self,
-        sends: tuple[_Send, _Send],
+        sends: tuple[_SendAttempt, _SendAttempt],
         step: str,
         wait_s: float,
     ) -> Answer:
-        """Return the answer of whichever try is answered first."""
+        """Send a request, retry it if there is no response; return the first one."""
         started_s = now_s()
         async_send, async_send_again = sends
         first = asyncio.ensure_future(async_send())
-        tries = {first}
-        patience_s = wait_s + SECOND_TRY_SHARE * self._settings.timeout_s
+        attempts = {first}
+        retry_after_s = wait_s + SECOND_TRY_SHARE * self._settings.timeout_s
         try:
-            await asyncio.wait(tries, timeout=patience_s)
-            lag_s = now_s() - started_s - patience_s
-            if not first.done() and lag_s > MIN_LAG_S:
-                # The answer may have arrived while the loop was blocked.
-                await asyncio.wait(tries, timeout=min(lag_s, patience_s))
+            await asyncio.wait(attempts, timeout=retry_after_s)
+            lag_s = now_s() - started_s - retry_after_s
+            if not first.done() and lag_s > MIN_LOOP_LAG_S:
+                # The response may have arrived while the event loop was blocked.
+                await asyncio.wait(attempts, timeout=min(lag_s, retry_after_s))
             if first.done():
                 return first.result()
             closed = close_idle_connections(self._session, self._settings.url)
-            tries.add(asyncio.ensure_future(async_send_again()))
+            attempts.add(asyncio.ensure_future(async_send_again()))
             self._on_retry(ReadRetry(step, now_s() - started_s, lag_s, closed))
-            return await _async_first_answer(tries)
+            return await _async_first_response(attempts)
         finally:
-            for task in tries:
+            for task in attempts:
                 task.cancel()
 
 
-async def _async_first_answer(tries: set[asyncio.Future[Answer]]) -> Answer:
-    """Return the first answer, or raise the last error when no try is answered."""
-    open_tries = set(tries)
+async def _async_first_response(attempts: set[asyncio.Future[Answer]]) -> Answer:
+    """Return the first response, or raise the last error if all attempts fail."""
+    pending = set(attempts)
     while True:
-        done, open_tries = await asyncio.wait(
-            open_tries, return_when=asyncio.FIRST_COMPLETED
-        )
-        answers = [task.result() for task in done if task.exception() is None]
-        if answers:
-            return answers[0]
-        if not open_tries:
+        done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+        responses = [task.result() for task in done if task.exception() is None]
+        if responses:
+            return responses[0]
+        if not pending:
             return done.pop().result()
 
 
 class HttpTableService(TableService):
-    """The table service over HTTP."""
+    """Table service over HTTP."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
         self._page_decoder = msgspec.json.Decoder(RowPage)
 
     async def async_read(self, prefix: str, after_version: int = 0) -> RowPage:
-        """Return rows of a prefix that changed after a version."""
+        """Return the rows of a prefix that changed after a version."""
         step = "table.read"
-        answer = await self._caller.async_call(
+        response = await self._caller.async_call(
             "GET",
             "/v1/table/rows",
             step=step,
             params={"prefix": prefix, "after": str(after_version)},
         )
         try:
-            return self._page_decoder.decode(answer.body)
+            return self._page_decoder.decode(response.body)
         except msgspec.MsgspecError as error:
             raise PlatformUnavailable(
                 str(error), step=step, peer=self._caller.peer
@@ -246,7 +257,7 @@
     async def async_transact(self, transaction: Transaction) -> Commit:
         """Commit a transaction."""
         step = "table.transact"
-        answer = await self._caller.async_call(
+        response = await self._caller.async_call(
             "POST",
             "/v1/table/transactions",
             step=step,
@@ -254,47 +265,47 @@
             is_conditional_write=True,
         )
         try:
-            result = msgspec.json.decode(answer.body, type=_CommitAnswer)
+            result = msgspec.json.decode(response.body, type=_TransactionResponse)
         except msgspec.MsgspecError as error:
             raise WriteOutcomeUnknown(
                 str(error), step=step, peer=self._caller.peer
             ) from error
-        if answer.status == HTTP_CONFLICT:
+        if response.status == HTTP_CONFLICT:
             raise TransactionConflict(result.conflict, step=step, peer=result.conflict)
         return Commit(result.version)
 
 
 class HttpObjectStore(ObjectStore):
-    """The object store over HTTP."""
+    """Object store over HTTP."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
 
     async def async_put(self, name: str, body: bytes) -> None:
-        """Store a body under its hash."""
+        """Store an object under its hash."""
         await self._caller.async_call(
             "PUT", f"/v1/objects/{name}", step="objects.put", body=body
         )
 
     async def async_get(self, name: str) -> bytes | None:
-        """Return a body, or None."""
-        answer = await self._caller.async_call(
+        """Return an object's body, or None if it does not exist."""
+        response = await self._caller.async_call(
             "GET", f"/v1/objects/{name}", step="objects.get"
         )
-        return None if answer.status == HTTP_NOT_FOUND else answer.body
+        return None if response.status == HTTP_NOT_FOUND else response.body
 
 
 class HttpVmList(VmList):
-    """The VM list over HTTP."""
+    """VM list over HTTP."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
 
     async def async_list(self) -> list[Vm]:
-        """Return the VMs as the list has them now."""
-        answer = await self._caller.async_call("GET", "/v1/vms", step="vms.list")
+        """Return the current content of the list."""
+        response = await self._caller.async_call("GET", "/v1/vms", step="vms.list")
         try:
-            return msgspec.json.decode(answer.body, type=list[Vm])
+            return msgspec.json.decode(response.body, type=list[Vm])
         except msgspec.MsgspecError as error:
             raise PlatformUnavailable(
                 str(error), step="vms.list", peer=self._caller.peer
@@ -304,7 +315,7 @@
 def async_setup_platform(
     session: aiohttp.ClientSession, settings: PlatformSection
 ) -> Platform:
-    """Return the platform's parts, each behind a breaker of its own."""
+    """Return the platform services, each with its own circuit breaker."""
     return Platform(
         table=HttpTableService(HttpCaller(session, settings, "table")),
         objects=HttpObjectStore(HttpCaller(session, settings, "objects")),
--- a/chutelink/store/transactions.py
+++ b/chutelink/store/transactions.py
@@ -1,4 +1,4 @@
-"""Commit a transaction and settle it when its reply is lost."""
+"""Commit transactions, and determine the outcome if the response is lost."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 SETTLE_ATTEMPTS = 6
 SETTLE_PAUSE_S = 0.1
 ABANDONED_VALUE = {"abandoned": True}
-"""Stands in a row whose first write was given up; it counts as no value."""
+"""Value of a row whose first write was abandoned; it is read as no value."""
 
 ValueT = TypeVar("ValueT")
 
 
 def decode_value(row: Row | None, kind: type[ValueT]) -> ValueT | None:
-    """Return a row's value as a struct, or None for no row or an abandoned one.
+    """Return a row's value as a struct, or None for a missing or abandoned row.
 
     Raises
     ------
     PlatformUnavailable
-        The row holds something else; it is not guessed at.
+        The value does not match the struct.
     """
     if row is None or row.value == ABANDONED_VALUE:
         return None
@@ -51,13 +51,14 @@
 async def async_commit(
     table: TableService, checks: list[Check], writes: list[Write]
 ) -> int:
-    """Commit, and find out what happened when the reply is lost.
+    """Commit a transaction, and determine its outcome if the response is lost.
 
-    The first write must be of a key that is also checked, and that no other
-    process overwrites blindly. When the reply is lost, that row is read back:
-    our write id there means that it took effect. An unchanged row is written
-    anew with its old value (an absent one as abandoned), so that the late
-    original can't take effect after we have said that it did not.
+    The first write must be to a key that is also checked, and that no other process
+    writes without a check. If the response is lost, that row is read back: the
+    transaction's write id there means that it was applied. An unchanged row is
+    rewritten with its old value (a missing row as abandoned). This changes its
+    version, so that a delayed original fails its check and cannot be applied after
+    it was reported as not applied.
 
     Returns
     -------
@@ -67,35 +68,44 @@
     Raises
     ------
     TransactionConflict
-        Nothing was changed, now or later.
+        No write was applied, and none will be.
     PlatformUnavailable
-        Nothing was changed.
+        No write was applied.
     WriteOutcomeUnknown
-        The platform stayed out while settling; it may have taken effect.
+        The platform was unavailable while the outcome was being determined; the
+        writes may have been applied.
     """
     transaction = Transaction(WriteId(make_id()), tuple(checks), tuple(writes))
     try:
         return (await table.async_transact(transaction)).version
-    except WriteOutcomeUnknown as lost:
-        return await _async_settle(table, transaction, lost)
+    except WriteOutcomeUnknown as unknown:
+        return await _async_settle(table, transaction, unknown)
 
 
 async def _async_settle(
-    table: TableService, transaction: Transaction, lost: WriteOutcomeUnknown
+    table: TableService, transaction: Transaction, unknown: WriteOutcomeUnknown
 ) -> int:
     for attempt in range(SETTLE_ATTEMPTS):
         try:
-            version = await _async_read_back(table, transaction)
+            version = await _async_read_outcome(table, transaction)
         except (PlatformUnavailable, WriteOutcomeUnknown):
             version = None
         if version is not None:
             return version
         await asyncio.sleep(SETTLE_PAUSE_S * 2**attempt)
-    raise lost
+    raise unknown
 
 
-async def _async_read_back(table: TableService, transaction: Transaction) -> int | None:
-    """Return the version written, None to look again; raise when overtaken."""
+async def _async_read_outcome(
+    table: TableService, transaction: Transaction
+) -> int | None:
+    """Return the version written, or raise if the writes were not applied.
+
+    Raises
+    ------
+    TransactionConflict
+        No write was applied, and none will be.
+    """
     key = transaction.writes[0].key
     checked = next(c.version for c in transaction.checks if c.key == key)
     page = await table.async_read(key)
@@ -106,16 +116,16 @@
     if found != checked:
         raise TransactionConflict(key, step="table.settle", peer=key)
     value = row.value if row is not None else ABANDONED_VALUE
-    await _async_fence_off(table, transaction, checked, value)
+    await _async_invalidate(table, transaction, checked, value)
     raise TransactionConflict(key, step="table.settle", peer=key)
 
 
-async def _async_fence_off(
+async def _async_invalidate(
     table: TableService, transaction: Transaction, checked: int, value: object
 ) -> None:
-    """Change the row's version, keeping its value, so that the original fails."""
+    """Rewrite the row with its value, so that a delayed original fails its check."""
     key = transaction.writes[0].key
-    touch = Transaction(
+    rewrite = Transaction(
         WriteId(make_id()), (Check(key, checked),), (Write(key, value),)
     )
-    await table.async_transact(touch)
+    await table.async_transact(rewrite)
--- a/tests/store/test_http.py
+++ b/tests/store/test_http.py
@@ -1,9 +1,9 @@
-"""Calls to the platform over connections that fall silent.
+"""Tests for platform calls over connections that stop responding.
 
-What was seen: a daemon that seldom reads the store by itself keeps a connection for
-long. If that fell silent without a reset, its first own read ran into the time limit,
-and with the pause before the next one the daemon knew of a leaving endpoint 2.4 to
-2.6 s after the store's acknowledgement, where 2 s are allowed.
+A daemon that rarely reads the store directly keeps a connection open for a long time.
+If the connection stopped responding without a reset, the next read timed out. With
+the pause before the following read, the daemon learned of a leaving endpoint 2.4 to
+2.6 s after the store acknowledged the change; the limit is 2 s.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 from chutelink.store.http import SECOND_TRY_SHARE, HttpCaller, ReadRetry
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-LIMIT_S = 0.5
+TIMEOUT_S = 0.5
 
 
-class SilentServer:
-    """Answers one call on its first connections and then nothing there."""
+class UnresponsiveServer:
+    """Responds to one call on each of its first connections, then stops responding."""
 
-    def __init__(self, silent: int) -> None:
-        self.silent = silent
+    def __init__(self, unresponsive_connections: int) -> None:
+        self.unresponsive_connections = unresponsive_connections
         self.connections = 0
         self.calls = 0
         self.retries: list[ReadRetry] = []
 
     async def async_serve(self, reader, writer):
         self.connections += 1
-        is_silent = self.connections <= self.silent
+        is_unresponsive = self.connections <= self.unresponsive_connections
         answered = 0
         while await self._async_request(reader):
-            if is_silent and answered:
+            if is_unresponsive and answered:
                 await asyncio.Event().wait()
             writer.write(ANSWER)
             answered += 1
@@ -57,7 +57,7 @@
     listener = await asyncio.start_server(server.async_serve, "127.0.0.1", 0)
     port = listener.sockets[0].getsockname()[1]
     url = f"http://127.0.0.1:{port}"
-    settings = PlatformSection(url=url, key="none", timeout_s=LIMIT_S)
+    settings = PlatformSection(url=url, key="none", timeout_s=TIMEOUT_S)
     async with aiohttp.ClientSession() as session:
         yield HttpCaller(session, settings, "store", on_retry=server.retries.append)
     listener.close()
@@ -71,8 +71,8 @@
     asyncio.run(async_run())
 
 
-def test_a_read_on_a_silent_connection_is_sent_anew_on_a_new_one():
-    server = SilentServer(silent=1)
+def test_read_on_unresponsive_connection_is_retried_on_new_one():
+    server = UnresponsiveServer(unresponsive_connections=1)
 
     async def async_test(caller):
         await caller.async_call("GET", "/x", step="x", is_read=True)
@@ -85,8 +85,8 @@
     run(server, async_test)
 
 
-def test_a_write_is_sent_once():
-    server = SilentServer(silent=1)
+def test_write_is_not_retried():
+    server = UnresponsiveServer(unresponsive_connections=1)
 
     async def async_test(caller):
         await caller.async_call("POST", "/x", step="x")
@@ -97,8 +97,8 @@
     run(server, async_test)
 
 
-def test_a_read_that_nobody_answers_ends_at_its_limit():
-    class Mute(SilentServer):
+def test_read_without_response_times_out():
+    class NeverResponds(UnresponsiveServer):
         async def async_serve(self, reader, writer):
             await asyncio.Event().wait()
 
@@ -106,16 +106,17 @@
         with pytest.raises(PlatformUnavailable):
             await caller.async_call("GET", "/x", step="x", is_read=True)
 
-    run(Mute(silent=9), async_test)
+    run(NeverResponds(unresponsive_connections=9), async_test)
 
 
-def test_one_silent_connection_costs_no_later_call_its_time_limit():
-    """Three connections are kept, and all of them fall silent at once.
+def test_retry_closes_all_unresponsive_connections():
+    """Three pooled connections stop responding at the same time.
 
-    What was seen: each of them cost one more read a second try, or a write its time
-    limit; and a daemon whose second tries each closed their connection held none.
+    Guards against each of them delaying another read until its retry or making a
+    write time out, and against a daemon that has no connection left because each
+    retry closes the one that it used.
     """
-    server = SilentServer(silent=3)
+    server = UnresponsiveServer(unresponsive_connections=3)
 
     async def async_test(caller):
         reads = [
@@ -132,20 +133,20 @@
     run(server, async_test)
 
 
-def test_an_answer_that_came_while_the_loop_was_blocked_needs_no_second_try():
-    """What was seen: on a busy machine daemons sent reads twice that were answered."""
-    patience_s = SECOND_TRY_SHARE * LIMIT_S
+def test_response_during_blocked_event_loop_prevents_retry():
+    """On a busy machine, daemons retried reads that had already been answered."""
+    retry_after_s = SECOND_TRY_SHARE * TIMEOUT_S
 
-    class Slow(SilentServer):
+    class BlockedLoopServer(UnresponsiveServer):
         async def async_serve(self, reader, writer):
             self.connections += 1
             await self._async_request(reader)
             loop = asyncio.get_running_loop()
-            loop.call_later(patience_s / 4, time.sleep, patience_s)
-            await asyncio.sleep(patience_s / 2)
+            loop.call_later(retry_after_s / 4, time.sleep, retry_after_s)
+            await asyncio.sleep(retry_after_s / 2)
             writer.write(ANSWER)
 
-    server = Slow(silent=0)
+    server = BlockedLoopServer(unresponsive_connections=0)
 
     async def async_test(caller):
         answer = await caller.async_call("GET", "/x", step="x", is_read=True)
@@ -155,21 +156,21 @@
     run(server, async_test)
 
 
-def test_a_second_try_asks_for_an_answer_at_once():
-    """The first one may be held back for longer than is then left of the time limit.
+def test_retry_of_long_poll_requests_immediate_response():
+    """A long poll may take longer than the timeout that is left for the retry.
 
-    What was seen: a long poll whose connection had fallen silent ran into its time
-    limit, though the second try arrived, and counted as a failure of the service.
+    Guards against a long poll on an unresponsive connection that timed out and was
+    counted as a failure of the service although its retry had arrived.
     """
 
-    class LongPolls(SilentServer):
+    class LongPollServer(UnresponsiveServer):
         async def async_serve(self, reader, writer):
             self.connections += 1
             if self.connections == 1:
                 await asyncio.Event().wait()
             line = await reader.readuntil(b"\r\n\r\n")
             if b"wait_ms=0" not in line:
-                await asyncio.sleep(2 * LIMIT_S)
+                await asyncio.sleep(2 * TIMEOUT_S)
             writer.write(ANSWER)
 
     async def async_test(caller):
@@ -180,22 +181,22 @@
             params={"wait_ms": "1000"},
             retry_params={"wait_ms": "0"},
             is_read=True,
-            wait_s=2 * LIMIT_S,
+            wait_s=2 * TIMEOUT_S,
         )
         assert answer.body == b"ok"
 
-    run(LongPolls(silent=0), async_test)
+    run(LongPollServer(unresponsive_connections=0), async_test)
 
 
-def test_reads_are_sent_once_while_the_service_answers_nobody():
-    """Each try is charged, and a new connection tells no more than another one."""
+def test_reads_are_not_retried_while_service_is_failing():
+    """Each attempt counts against the rate limit, and a retry adds no information."""
 
-    class Mute(SilentServer):
+    class NeverResponds(UnresponsiveServer):
         async def async_serve(self, reader, writer):
             while await self._async_request(reader):
                 pass
 
-    server = Mute(silent=9)
+    server = NeverResponds(unresponsive_connections=9)
 
     async def async_test(caller):
         for _ in range(FAILURES_TO_OPEN):
