--- a/chutelink/tables/__init__.py
+++ b/chutelink/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Entities in tables; systems run over them each tick."""
+"""In-memory tables of entities, which the systems process on each tick."""
--- a/chutelink/tables/endpoints.py
+++ b/chutelink/tables/endpoints.py
@@ -1,4 +1,4 @@
-"""What this process knows of each endpoint: soft state, rebuilt in seconds."""
+"""Soft state of each endpoint in this process, rebuilt within seconds."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ..fleet.model import Artifact, EndpointKind, EndpointSpec, FleetSpec
 from ..ids import BootId, EndpointName, FencingNumber
 
-REPORT_FAILURES_TO_LOSE = 3
-RECOVERY_STEP_S = 0.5
+REPORT_FAILURES_UNTIL_LOST = 3
+FIRST_EXCLUSION_S = 0.5
 MAX_EXCLUSION_S = 8.0
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new requests."""
 
     UNKNOWN = "unknown"
     LIVE = "live"
@@ -25,7 +25,7 @@
 
 
 class ArtifactState(Enum):
-    """Where an engine stands with an artifact."""
+    """State of an artifact at an engine."""
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -33,7 +33,7 @@
 
 
 class HeldArtifact(msgspec.Struct, frozen=True):
-    """One artifact that an engine reports; memory is per accelerator."""
+    """An artifact in an engine's report; memory is per accelerator."""
 
     name: str
     version: str
@@ -46,12 +46,12 @@
 
     @property
     def artifact(self) -> Artifact:
-        """The artifact that is held."""
+        """The artifact's name and version."""
         return Artifact(self.name, self.version)
 
 
 class EndpointReport(msgspec.Struct, frozen=True):
-    """What an endpoint says of itself; the load may be old."""
+    """An endpoint's report of its own state; the load may be out of date."""
 
     boot_id: BootId
     leaving: bool = False
@@ -65,7 +65,7 @@
 
 
 class Endpoint:
-    """One row of the table; changed only by the systems that own each field."""
+    """A row of the table; each field is changed only by the system that owns it."""
 
     __slots__ = (
         "cached_prefixes",
@@ -104,34 +104,34 @@
 
     @property
     def takes_new_work(self) -> bool:
-        """Whether new requests may be sent there."""
+        """Whether new requests may be sent to the endpoint."""
         return self.state is EndpointState.LIVE
 
     def estimated_load(self) -> int:
-        """Return sequences there: the last report, corrected by own dispatches."""
+        """Return the number of sequences: last report, adjusted by own dispatches."""
         if self.report is None:
             return self.inflight
         others = self.report.running + self.report.waiting - self.inflight_at_report
         return max(0, others) + self.inflight
 
     def free_slots(self) -> int:
-        """Return how many more requests this process may send now."""
+        """Return the number of further requests that this process may send now."""
         others = self.estimated_load() - self.inflight
         share = max(1, self.spec.slots - others)
         return share - self.inflight
 
 
 class EndpointTable:
-    """Endpoints by name, with an index from artifact to holders."""
+    """Endpoints by name, indexed by the artifacts that they have loaded."""
 
     def __init__(self) -> None:
         self.rows: dict[EndpointName, Endpoint] = {}
         self._holders: dict[Artifact, set[EndpointName]] = defaultdict(set)
 
     def sync(self, fleet: FleetSpec) -> None:
-        """Add endpoints that the fleet declares and drop those that it does not."""
+        """Add the endpoints that the fleet declares and remove all others."""
         for name in self.rows.keys() - fleet.endpoints.keys():
-            self._index(self.rows.pop(name), frozenset())
+            self._update_index(self.rows.pop(name), frozenset())
         for name, spec in fleet.endpoints.items():
             row = self.rows.get(name)
             if row is None or row.spec.url != spec.url:
@@ -146,10 +146,10 @@
         asked_s: float,
         now_s: float,
     ) -> None:
-        """Take in a report that has just arrived.
+        """Record a report that has just arrived.
 
-        A report asked for before the one that is known tells nothing new, and
-        may show what an order has changed since.
+        A report that was requested before the known one is ignored: it is older and
+        may show a state that an order has changed since.
         """
         row = self.rows.get(name)
         if row is None or asked_s < row.report_asked_s:
@@ -165,15 +165,15 @@
             for held in report.artifacts
             if held.state is ArtifactState.LOADED
         )
-        self._index(row, loaded)
+        self._update_index(row, loaded)
         self.update_state(row)
 
     def note_service_alive(self, name: EndpointName, now_s: float) -> None:
-        """Take in that a plain service answered its health check."""
+        """Record that a plain service responded to its health check."""
         self.note_report(name, EndpointReport(boot_id=BootId("")), now_s, now_s)
 
     def note_report_failure(self, name: EndpointName) -> None:
-        """Count a report that did not come; several in a row lose the endpoint."""
+        """Count a missing report; several in a row mark the endpoint as lost."""
         row = self.rows.get(name)
         if row is None:
             return
@@ -183,16 +183,16 @@
     def note_departures(
         self, leaving_vms: frozenset[str], drained: frozenset[str]
     ) -> None:
-        """Take in leaving VMs and the names that operators drain."""
+        """Record the leaving VMs, and the endpoints and VMs that operators drain."""
         for row in self.rows.values():
             row.is_vm_leaving = row.spec.vm in leaving_vms
             row.is_drained = row.name in drained or row.spec.vm in drained
             self.update_state(row)
 
     def update_state(self, row: Endpoint) -> None:
-        """Derive the state: any source that says leaving is believed."""
+        """Derive the state; one source that reports leaving is enough for LEAVING."""
         says_leaving = row.report is not None and row.report.leaving
-        if row.report_failures >= REPORT_FAILURES_TO_LOSE:
+        if row.report_failures >= REPORT_FAILURES_UNTIL_LOST:
             row.state = EndpointState.LOST
         elif says_leaving or row.is_vm_leaving or row.is_drained:
             row.state = EndpointState.LEAVING
@@ -200,32 +200,32 @@
             row.state = EndpointState.LIVE
 
     def note_failure(self, name: EndpointName, now_s: float) -> None:
-        """Leave an endpoint out for a while after a failed exchange."""
+        """Exclude an endpoint for a while after a failed exchange."""
         row = self.rows.get(name)
         if row is None:
             return
         row.failures = min(row.failures + 1, 8)
-        pause_s = min(MAX_EXCLUSION_S, RECOVERY_STEP_S * 2 ** (row.failures - 1))
+        pause_s = min(MAX_EXCLUSION_S, FIRST_EXCLUSION_S * 2 ** (row.failures - 1))
         row.excluded_until_s = now_s + pause_s
 
     def note_success(self, name: EndpointName) -> None:
-        """Let an endpoint back one step."""
+        """Shorten the next exclusion of an endpoint by one step."""
         row = self.rows.get(name)
         if row is not None and row.failures:
             row.failures -= 1
 
     def holders(self, artifacts: tuple[Artifact, ...]) -> list[Endpoint]:
-        """Return the endpoints that hold all of these artifacts."""
+        """Return the endpoints that have loaded all of these artifacts."""
         if not artifacts:
             return []
         names = set.intersection(*(self._holders.get(a, set()) for a in artifacts))
         return [self.rows[name] for name in sorted(names)]
 
     def engines(self) -> list[Endpoint]:
-        """Return the rows of engines."""
+        """Return the endpoints that are engines."""
         return [r for r in self.rows.values() if r.spec.kind is EndpointKind.ENGINE]
 
-    def _index(self, row: Endpoint, loaded: frozenset[Artifact]) -> None:
+    def _update_index(self, row: Endpoint, loaded: frozenset[Artifact]) -> None:
         for artifact in row.loaded - loaded:
             self._holders[artifact].discard(row.name)
         for artifact in loaded - row.loaded:
--- a/chutelink/tables/leases.py
+++ b/chutelink/tables/leases.py
@@ -1,4 +1,4 @@
-"""Leases of failure domains, as one contender sees them."""
+"""Leases of failure domains, from the view of one contender."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """The row of a lease; ``counter`` rises with each renewal."""
+    """Row of a lease; each renewal increments ``counter``."""
 
     holder: DaemonId
     boot_id: BootId
@@ -19,10 +19,10 @@
 
 
 class TermRow(msgspec.Struct, frozen=True):
-    """The row that changes only when the holder does.
+    """Row that changes only when the holder changes.
 
-    Every transaction of a holder checks its version, so that one that has lost
-    the lease can change nothing any more.
+    Each transaction of a holder checks this row's version, so that a holder that
+    has lost the lease cannot write any more.
     """
 
     holder: DaemonId
@@ -30,14 +30,14 @@
 
 
 class LeaseState(Enum):
-    """What a contender may do."""
+    """State of a lease at a contender."""
 
     WATCHING = "watching"
     HELD = "held"
 
 
 class Lease:
-    """One failure domain's lease; times are on the contender's own clock."""
+    """Lease of one failure domain; times are on the contender's own clock."""
 
     def __init__(self, failure_domain: FailureDomainName) -> None:
         self.failure_domain = failure_domain
@@ -49,7 +49,7 @@
         self.held_until_s = float("-inf")
 
     def observe(self, row: LeaseRow | None, version: int, now_s: float) -> None:
-        """Take in the row as read; a change restarts the watch."""
+        """Record the row as read; a changed version restarts the waiting time."""
         if version != self.row_version or self.unchanged_since_s is None:
             self.unchanged_since_s = now_s
         self.row_version = version
@@ -57,19 +57,19 @@
 
     @property
     def is_free(self) -> bool:
-        """Whether nobody has held it yet, or the holder has given it back."""
+        """Whether the lease was never held, or was released by its holder."""
         return self.row is None or self.row.is_released
 
     def may_take(self, now_s: float, patience_s: float) -> bool:
-        """Return whether the row was unchanged for long enough."""
+        """Return whether the row has been unchanged for ``patience_s``."""
         return now_s - self.unchanged_since_s >= patience_s
 
     def is_held(self, now_s: float) -> bool:
-        """Return whether orders may be sent now."""
+        """Return whether this contender holds the lease and may send orders."""
         return self.state is LeaseState.HELD and now_s < self.held_until_s
 
     def lose(self, now_s: float) -> None:
-        """Stop holding and watch from now on."""
+        """Mark the lease as lost and restart the waiting time."""
         self.state = LeaseState.WATCHING
         self.held_until_s = float("-inf")
         self.unchanged_since_s = now_s
--- a/chutelink/tables/ledger.py
+++ b/chutelink/tables/ledger.py
@@ -1,4 +1,4 @@
-"""The memory ledger: what each accelerator holds or may come to hold."""
+"""Memory ledger: the artifacts that each accelerator holds or may be loading."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClaimState(Enum):
-    """Where a claim stands."""
+    """State of a claim."""
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -19,7 +19,7 @@
 
 
 class OrderAction(Enum):
-    """What an order asks an engine to do."""
+    """Action that an order requests from an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -27,16 +27,16 @@
 
 
 class PendingOrder(msgspec.Struct, frozen=True):
-    """An order that was claimed and whose answer has not been seen."""
+    """An order that is recorded in a claim and has not been answered yet."""
 
     fence: FencingNumber
     action: OrderAction
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Memory set aside for one artifact on some accelerators of an endpoint.
+    """Memory reserved for an artifact on some accelerators of an endpoint.
 
-    ``memory_mb`` is for each accelerator of ``accelerators``.
+    ``memory_mb`` is reserved on each of ``accelerators``.
     """
 
     artifact: Artifact
@@ -54,10 +54,10 @@
 
 
 class LedgerRow(msgspec.Struct, frozen=True):
-    """All claims on one endpoint, and the last fencing number allotted.
+    """All claims on one endpoint, and the last fencing number that was assigned.
 
-    ``boot_id`` is the engine process that the claims were last brought in line
-    with; another one must answer a fence order before it gets loads.
+    ``boot_id`` is the engine process that the claims were last reconciled with; a
+    different process must answer a fence order before it is sent load orders.
     """
 
     endpoint: EndpointName
@@ -72,7 +72,7 @@
         return next((c for c in self.claims if c.artifact == artifact), None)
 
     def used_mb(self) -> list[int]:
-        """Return the memory claimed on each accelerator."""
+        """Return the claimed memory of each accelerator."""
         used = [0] * self.accelerators
         for claim in self.claims:
             for index in claim.accelerators:
@@ -80,10 +80,10 @@
         return used
 
     def free_mb(self) -> list[int]:
-        """Return the memory that no claim covers, for each accelerator."""
+        """Return the unclaimed memory of each accelerator."""
         return [self.memory_mb - used for used in self.used_mb()]
 
     def holds(self, artifact: Artifact) -> bool:
-        """Return whether the artifact is known to be loaded and stays so."""
+        """Return whether the artifact is loaded and not being unloaded."""
         claim = self.claim_of(artifact)
         return claim is not None and claim.state is ClaimState.LOADED
--- a/chutelink/tables/members.py
+++ b/chutelink/tables/members.py
@@ -1,4 +1,4 @@
-"""The daemons that this process knows of, and what it believes of each."""
+"""Membership table: the known daemons and their states."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Role(Enum):
-    """What a daemon does."""
+    """Role of a daemon."""
 
     GATEWAY = "gateway"
     DIRECTOR = "director"
 
 
 class MemberState(Enum):
-    """How a daemon stands, as far as is known."""
+    """State of a daemon, as last known."""
 
     JOINING = "joining"
     ALIVE = "alive"
@@ -27,17 +27,17 @@
     LEFT = "left"
 
 
-_RANK = {state: rank for rank, state in enumerate(MemberState)}
-_USABLE = (MemberState.ALIVE, MemberState.SUSPECT)
+_SEVERITY = {state: severity for severity, state in enumerate(MemberState)}
+_IN_SERVICE = (MemberState.ALIVE, MemberState.SUSPECT)
 _RUNNING = (MemberState.JOINING, MemberState.ALIVE, MemberState.LEAVING)
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A daemon at one moment of its life.
+    """A daemon's membership record.
 
-    ``incarnation`` is raised by the daemon alone, to refute what others say of
-    it; within one incarnation the graver state wins. Incarnations of different
-    daemons are never compared. ``capacity`` is the processor share of its VM.
+    Only the daemon itself increments ``incarnation``, to refute what others report
+    about it. Within one incarnation the more severe state wins. Incarnations of
+    different daemons are never compared. ``capacity`` is the CPU share of its VM.
     """
 
     id: DaemonId
@@ -54,96 +54,98 @@
 
     @property
     def url(self) -> str:
-        """Where callers or operators reach it."""
+        """URL for callers and operators."""
         return f"http://{self.address}:{self.port}"
 
     @property
     def peer_address(self) -> str:
-        """Where peers reach it."""
+        """Address and port for peers."""
         return f"{self.address}:{self.peer_port}"
 
     def is_newer_than(self, other: Member) -> bool:
-        """Return whether this is later news of the same daemon."""
+        """Return whether this record supersedes another one of the same daemon."""
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
-        return _RANK[self.state] > _RANK[other.state]
+        return _SEVERITY[self.state] > _SEVERITY[other.state]
 
 
 class MemberTable:
-    """Members by id; merging is commutative, so that news may come in any order."""
+    """Members by id; merging is commutative, so updates may arrive in any order."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
         self.rows: dict[DaemonId, Member] = {own.id: own}
-        self._suspected_s: dict[DaemonId, float] = {}
+        self._suspected_since_s: dict[DaemonId, float] = {}
         self.changes = 0
-        """How often a row has changed, for what is derived from the rows."""
+        """Number of row changes, for invalidating what is derived from the rows."""
         self.grew_s = float("-inf")
-        """When a daemon was heard of that was not known at all."""
+        """Time at which a previously unknown daemon was last added."""
 
-    def merge(self, news: Member, now_s: float) -> Member | None:
-        """Take in news of a member.
+    def merge(self, update: Member, now_s: float) -> Member | None:
+        """Merge an update of a member.
 
         Returns
         -------
         Member or None
-            What must be passed on to the peers, or None when nothing is new.
+            The update to forward to the peers, or None if nothing changed.
         """
-        if news.id == self.own.id:
-            return self._refute(news)
-        known = self.rows.get(news.id)
-        if known is not None and not news.is_newer_than(known):
+        if update.id == self.own.id:
+            return self._refute(update)
+        known = self.rows.get(update.id)
+        if known is not None and not update.is_newer_than(known):
             return None
-        self._put(news, now_s)
-        return news
+        self._store(update, now_s)
+        return update
 
     def set_own_state(self, state: MemberState) -> Member:
-        """Change this daemon's own state; return the news."""
+        """Change this daemon's own state and return the update."""
         self.own = msgspec.structs.replace(
             self.own, state=state, incarnation=self.own.incarnation + 1
         )
-        self._put_own()
+        self._store_own()
         return self.own
 
     def suspect(self, member_id: DaemonId, now_s: float) -> Member | None:
-        """Doubt a member that has gone silent; return the news, if any."""
+        """Mark an unresponsive member as suspect; return the update, if any."""
         known = self.rows.get(member_id)
         if known is None or known.state not in _RUNNING:
             return None
-        news = msgspec.structs.replace(known, state=MemberState.SUSPECT)
-        self._put(news, now_s)
-        return news
+        update = msgspec.structs.replace(known, state=MemberState.SUSPECT)
+        self._store(update, now_s)
+        return update
 
     def expire_suspects(self, now_s: float, suspicion_s: float) -> list[Member]:
-        """Declare down the members that did not refute in time."""
-        changed = []
-        for member_id, since_s in list(self._suspected_s.items()):
-            if now_s - since_s < suspicion_s:
+        """Mark members as down that did not refute the suspicion in time."""
+        updates = []
+        for member_id, suspected_since_s in list(self._suspected_since_s.items()):
+            if now_s - suspected_since_s < suspicion_s:
                 continue
-            news = msgspec.structs.replace(self.rows[member_id], state=MemberState.DOWN)
-            self._put(news, now_s)
-            changed.append(news)
-        return changed
+            update = msgspec.structs.replace(
+                self.rows[member_id], state=MemberState.DOWN
+            )
+            self._store(update, now_s)
+            updates.append(update)
+        return updates
 
     def live(self, role: Role | None = None) -> list[Member]:
-        """Return members that do their work, this one included."""
+        """Return the members that are in service, including this one."""
         return [
             member
             for member in self.rows.values()
-            if member.state in _USABLE and role in (None, member.role)
+            if member.state in _IN_SERVICE and role in (None, member.role)
         ]
 
     def linkable(self) -> list[Member]:
-        """Return the other members that links may be opened to."""
+        """Return the other members to which links may be opened."""
         return [
             member
             for member in self.rows.values()
             if member.id != self.own.id
-            and member.state in (MemberState.JOINING, *_USABLE)
+            and member.state in (MemberState.JOINING, *_IN_SERVICE)
         ]
 
     def is_gone(self, member_id: DaemonId, boot_id: BootId) -> bool:
-        """Return whether a process is known to have ended."""
+        """Return whether a process is known to have terminated."""
         known = self.rows.get(member_id)
         if known is None:
             return False
@@ -151,25 +153,25 @@
             return True
         return known.state in (MemberState.DOWN, MemberState.LEFT)
 
-    def _put(self, news: Member, now_s: float) -> None:
-        if news.id not in self.rows:
+    def _store(self, update: Member, now_s: float) -> None:
+        if update.id not in self.rows:
             self.grew_s = now_s
-        self.rows[news.id] = news
+        self.rows[update.id] = update
         self.changes += 1
-        if news.state is MemberState.SUSPECT:
-            self._suspected_s.setdefault(news.id, now_s)
+        if update.state is MemberState.SUSPECT:
+            self._suspected_since_s.setdefault(update.id, now_s)
         else:
-            self._suspected_s.pop(news.id, None)
+            self._suspected_since_s.pop(update.id, None)
 
-    def _put_own(self) -> None:
+    def _store_own(self) -> None:
         self.rows[self.own.id] = self.own
         self.changes += 1
 
-    def _refute(self, news: Member) -> Member | None:
-        """Raise the own incarnation above what others say of this daemon."""
-        is_same = news.boot_id == self.own.boot_id and news.state is self.own.state
-        if is_same or news.incarnation < self.own.incarnation:
+    def _refute(self, update: Member) -> Member | None:
+        """Increment the own incarnation if an update about this daemon is wrong."""
+        is_same = update.boot_id == self.own.boot_id and update.state is self.own.state
+        if is_same or update.incarnation < self.own.incarnation:
             return None
-        self.own = msgspec.structs.replace(self.own, incarnation=news.incarnation + 1)
-        self._put_own()
+        self.own = msgspec.structs.replace(self.own, incarnation=update.incarnation + 1)
+        self._store_own()
         return self.own
--- a/chutelink/tables/requests.py
+++ b/chutelink/tables/requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait in this gateway."""
+"""Requests that are waiting in this gateway."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class WaitingRequest(msgspec.Struct, eq=False):
-    """A request between admission and dispatch; times are on the loop's clock.
+    """A request between admission and dispatch; times are on the event loop's clock.
 
-    ``prompt_tokens`` is an estimate; ``dispatched`` gets the endpoint chosen, or None
-    when none holds the artifacts any more.
+    ``prompt_tokens`` is an estimate. ``dispatched`` is set to the chosen endpoint, or
+    to None if no endpoint holds the artifacts any more.
     """
 
     request_id: RequestId
@@ -32,16 +32,16 @@
 
     @property
     def may_be_late(self) -> bool:
-        """Whether the request is served even past its target."""
+        """Whether the request is served even after its target time."""
         return self.request_class.late is LatePolicy.SERVE
 
     def slack_s(self, now_s: float) -> float:
-        """Return the time that may still be spent waiting."""
+        """Return the time for which the request can still wait."""
         return self.deadline_s - now_s - self.expected_s
 
 
 class RequestQueue:
-    """Waiting requests, grouped by the artifacts that they need."""
+    """Waiting requests, grouped by their required artifacts."""
 
     def __init__(self) -> None:
         self._groups: dict[tuple[Artifact, ...], list[WaitingRequest]] = {}
@@ -53,7 +53,7 @@
         self.size += 1
 
     def remove(self, request: WaitingRequest) -> bool:
-        """Take a request out; return whether it was still waiting."""
+        """Remove a request; return whether it was still waiting."""
         group = self._groups.get(request.artifacts)
         if group is None or request not in group:
             return False
@@ -64,11 +64,11 @@
         return True
 
     def group(self, artifacts: tuple[Artifact, ...]) -> list[WaitingRequest]:
-        """Return the requests that need just these artifacts."""
+        """Return the requests that require exactly these artifacts."""
         return self._groups.get(artifacts, [])
 
     def waiting_by_model(self) -> dict[str, int]:
-        """Return how many requests wait, by the model that they need."""
+        """Return the number of waiting requests, by required model."""
         counts: dict[str, int] = {}
         for artifacts, group in self._groups.items():
             name = artifacts[0].name
@@ -76,5 +76,5 @@
         return counts
 
     def groups(self) -> list[tuple[Artifact, ...]]:
-        """Return the keys of the groups in which requests wait."""
+        """Return the artifacts of each group that has waiting requests."""
         return list(self._groups)
--- a/chutelink/tables/state.py
+++ b/chutelink/tables/state.py
@@ -1,4 +1,4 @@
-"""The shared state of placement, as one director last read it."""
+"""Shared placement state, as last read by this director."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class HealthRow(msgspec.Struct, frozen=True):
-    """What the holder of a failure domain's lease tells the other directors.
+    """State that the holder of a failure domain's lease publishes to other directors.
 
-    ``demand`` is sequences running or waiting by model, rounded so that the
-    row changes seldom.
+    ``demand`` is the number of running or waiting sequences by model, rounded so
+    that the row rarely changes.
     """
 
     usable: tuple[EndpointName, ...] = ()
@@ -22,14 +22,14 @@
 
 
 class VersionedRow(msgspec.Struct, frozen=True):
-    """A ledger row with the version that a condition must name."""
+    """A ledger row with the version to use in a transaction's check."""
 
     version: int
     row: LedgerRow
 
 
 class StateTable:
-    """Ledger and health rows by name; changed by reading and by own writes."""
+    """Ledger and health rows by name; updated by reads and by own writes."""
 
     def __init__(self) -> None:
         self.ledger: dict[EndpointName, VersionedRow] = {}
@@ -40,12 +40,12 @@
         self.changes = 0
 
     def forget_version(self) -> None:
-        """Read all rows anew the next time."""
+        """Make the next read return all rows."""
         self.version = 0
         self.is_read = False
 
     def take(self, row: Row) -> None:
-        """Take in a row that was read."""
+        """Store a row that was read."""
         if row.key.startswith(PREFIX_LEDGER):
             value = decode_value(row, LedgerRow)
             name = EndpointName(row.key[len(PREFIX_LEDGER) :])
@@ -58,7 +58,7 @@
                 self.put_health(domain, value, row.version)
 
     def put_ledger(self, name: EndpointName, row: LedgerRow, version: int) -> None:
-        """Keep a ledger row unless a later one is known."""
+        """Store a ledger row unless a newer one is known."""
         known = self.ledger.get(name)
         if known is None or version > known.version:
             self.ledger[name] = VersionedRow(version, row)
@@ -67,7 +67,7 @@
     def put_health(
         self, domain: FailureDomainName, row: HealthRow, version: int
     ) -> None:
-        """Keep a health row unless a later one is known."""
+        """Store a health row unless a newer one is known."""
         if version > self.health_versions.get(domain, 0):
             self.health[domain] = row
             self.changes += 1
@@ -75,15 +75,15 @@
 
     def rows(self) -> dict[EndpointName, LedgerRow]:
         """Return the ledger rows without their versions."""
-        return {name: kept.row for name, kept in self.ledger.items()}
+        return {name: versioned.row for name, versioned in self.ledger.items()}
 
     def usable(self) -> frozenset[EndpointName]:
-        """Return the endpoints that their directors say take new models."""
+        """Return the endpoints that their directors report as able to load models."""
         names = [name for row in self.health.values() for name in row.usable]
         return frozenset(names)
 
     def demand(self) -> dict[str, float]:
-        """Return the demand of each model over all failure domains."""
+        """Return the total demand of each model over all failure domains."""
         total: dict[str, float] = {}
         for row in self.health.values():
             for model, count in row.demand.items():
--- a/tests/tables/test_callers.py
+++ b/tests/tables/test_callers.py
@@ -1,4 +1,4 @@
-"""A caller's rate, shared by use over the gateways."""
+"""Tests for sharing a caller's rate between gateways according to usage."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def admit(demand_per_s, seconds):
-    """Return what gateways admit a second, at the end, for demands on each."""
+    """Return the requests that each gateway admits in the last second."""
     tables = [CallerTable() for _ in range(GATEWAYS)]
     queues = [QueueTable() for _ in range(GATEWAYS)]
     for table in tables:
@@ -29,26 +29,26 @@
                 for _ in range(demand_per_s[i] // 100):
                     admitted[i] += table.take("c", now_s) == 0.0
         for i, table in enumerate(tables):
-            news = QueueNews(f"g{i}", "b", "a", second, {}, table.take_usage(1.0))
+            message = QueueNews(f"g{i}", "b", "a", second, {}, table.take_usage(1.0))
             for queue in queues:
-                queue.merge(news, second + 1.0)
+                queue.merge(message, second + 1.0)
         for i, table in enumerate(tables):
             others = queues[i].callers_of_others(f"g{i}", second + 1.0)
             table.share(others)
     return admitted
 
 
-def test_one_gateway_gives_a_caller_its_whole_rate():
+def test_single_gateway_grants_full_rate():
     admitted = admit([300, 0, 0], 6)
     assert RATE_PER_S * 0.95 <= admitted[0] <= RATE_PER_S * 1.05
 
 
-def test_a_flood_over_all_gateways_gets_the_rate_once():
+def test_overload_on_all_gateways_gets_rate_in_total():
     admitted = admit([300, 300, 300], 8)
     assert RATE_PER_S * 0.95 <= sum(admitted) <= RATE_PER_S * 1.05
     assert min(admitted) >= RATE_PER_S / GATEWAYS * 0.9
 
 
-def test_use_that_is_not_told_adds_at_most_half():
+def test_unpublished_usage_exceeds_rate_by_at_most_half():
     admitted = admit([300, 100, 0], 8)
     assert sum(admitted) <= RATE_PER_S * 1.5
