--- a/chutelink/fleet/__init__.py
+++ b/chutelink/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The declarative fleet file: what should be served, where and for whom."""
+"""Declarative fleet file: the models and services to run, where and for whom."""
 
 from .diff import Change, diff_fleets
 from .model import (
--- a/chutelink/fleet/diff.py
+++ b/chutelink/fleet/diff.py
@@ -1,4 +1,4 @@
-"""What differs between two fleet files."""
+"""Differences between two fleet files."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ChangeKind(Enum):
-    """How an entity differs."""
+    """Kind of difference of an entity."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -29,7 +29,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One entity that differs, with the fields that do."""
+    """A difference of one entity; ``detail`` lists the changed fields."""
 
     kind: ChangeKind
     table: str
@@ -42,7 +42,7 @@
 
 
 def diff_fleets(old: FleetSpec | None, new: FleetSpec) -> list[Change]:
-    """Return the changes that lead from one fleet to the other."""
+    """Return the changes from the old fleet to the new one."""
     changes: list[Change] = []
     if old is not None and old.options != new.options:
         detail = _field_changes(old.options, new.options)
--- a/chutelink/fleet/model.py
+++ b/chutelink/fleet/model.py
@@ -1,4 +1,4 @@
-"""What a fleet file declares, as trusted data: checked once, then immutable."""
+"""Data model of a fleet file: validated when it is parsed, then immutable."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 class EndpointKind(Enum):
-    """What runs at an endpoint."""
+    """Kind of program that runs at an endpoint."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class LatePolicy(Enum):
-    """What becomes of a request that can't make its target."""
+    """Handling of a request that cannot meet its target time."""
 
     SERVE = "serve"
     REFUSE = "refuse"
 
 
 class RoutingPolicy(Enum):
-    """How an endpoint is chosen for a request."""
+    """Policy for choosing an endpoint for a request."""
 
     EXPECTED_TIME = "expected_time"
     ROUND_ROBIN = "round_robin"
@@ -43,7 +43,7 @@
 
 
 class QueueingPolicy(Enum):
-    """How waiting requests are ordered."""
+    """Policy for ordering waiting requests."""
 
     SLACK = "slack"
     FIFO = "fifo"
@@ -52,7 +52,7 @@
 
 
 class PlacementPolicy(Enum):
-    """How spare memory is given to models."""
+    """Policy for assigning spare memory to models."""
 
     WEIGHTED = "weighted"
     STATIC = "static"
@@ -60,14 +60,14 @@
 
 
 class ArtifactKind(Enum):
-    """What an engine can load."""
+    """Kind of artifact that an engine can load."""
 
     MODEL = "model"
     ADAPTER = "adapter"
 
 
 class Artifact(msgspec.Struct, frozen=True, order=True):
-    """One version of a model or adapter, as an engine loads it."""
+    """One version of a model or adapter that an engine can load."""
 
     name: ArtifactName
     version: str
@@ -77,7 +77,7 @@
 
 
 class FleetOptions(msgspec.Struct, frozen=True):
-    """``[fleet]``: policies and weights for the whole fleet."""
+    """``[fleet]``: policies and weights of the whole fleet."""
 
     attainment_weight: Weight = 1.0
     moves_weight: Weight = 0.1
@@ -87,7 +87,7 @@
 
 
 class FailureDomainSpec(msgspec.Struct, frozen=True):
-    """``[failure_domain D]``: where VMs fail together."""
+    """``[failure_domain D]``: a group of VMs that may fail together."""
 
     name: FailureDomainName
     region: Text = "default"
@@ -109,7 +109,7 @@
 
 
 class RequestClass(msgspec.Struct, frozen=True):
-    """``[request_class R]``: what counts as in time."""
+    """``[request_class R]``: target time, lateness policy and priority of requests."""
 
     name: Text
     target_s: Positive = 1.0
@@ -118,7 +118,7 @@
 
 
 class ModelSpec(msgspec.Struct, frozen=True):
-    """``[model M]``: memory is per accelerator, on ``accelerators`` of one endpoint."""
+    """``[model M]``: uses ``memory_mb`` on each of ``accelerators`` of one endpoint."""
 
     name: ArtifactName
     memory_mb: Megabytes
@@ -134,7 +134,7 @@
 
 
 class AdapterSpec(msgspec.Struct, frozen=True):
-    """``[adapter Y]``: loaded beside each replica of its model."""
+    """``[adapter Y]``: loaded together with each replica of its model."""
 
     name: ArtifactName
     model: ArtifactName
@@ -148,7 +148,7 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """``[service Z]``: a plain service; only listed methods may be repeated."""
+    """``[service Z]``: a plain service; only ``idempotent_methods`` are retried."""
 
     name: Text
     endpoints: tuple[str, ...]
@@ -157,7 +157,7 @@
 
 
 class CallerSpec(msgspec.Struct, frozen=True):
-    """``[caller C]``: who may call what, and how often."""
+    """``[caller C]``: an API client with its permissions and rate limit."""
 
     name: CallerName
     key_sha256: Annotated[str, Meta(pattern=r"^[0-9a-f]{64}$")]
@@ -167,16 +167,16 @@
     burst: Positive = 2000.0
 
     def may_use_model(self, name: str) -> bool:
-        """Return whether the caller may name this model or adapter."""
+        """Return whether the caller may use this model or adapter."""
         return any(fnmatchcase(name, pattern) for pattern in self.models)
 
     def may_use_service(self, name: str) -> bool:
-        """Return whether the caller may name this service."""
+        """Return whether the caller may use this service."""
         return any(fnmatchcase(name, pattern) for pattern in self.services)
 
 
 class FleetSpec(msgspec.Struct, frozen=True, dict=True):
-    """A whole fleet file."""
+    """Content of a fleet file."""
 
     options: FleetOptions
     failure_domains: dict[str, FailureDomainSpec]
@@ -188,12 +188,12 @@
     callers: dict[str, CallerSpec]
 
     def base_model(self, name: str) -> ModelSpec | None:
-        """Return the model that serves a model's or adapter's name."""
+        """Return the model of this name, or the base model of the adapter."""
         adapter = self.adapters.get(name)
         return self.models.get(adapter.model if adapter else name)
 
     def needed_artifacts(self, name: str) -> tuple[Artifact, ...]:
-        """Return the artifacts that must be loaded to serve a name."""
+        """Return the artifacts that must be loaded to serve a model or adapter."""
         model = self.base_model(name)
         if model is None:
             return ()
@@ -203,7 +203,7 @@
         return (model.artifact, adapter.artifact)
 
     def adapters_of(self, model: str) -> list[AdapterSpec]:
-        """Return the adapters of a model, by name."""
+        """Return the adapters of a model, sorted by name."""
         return self._adapters_by_model.get(model, [])
 
     @cached_property
@@ -214,7 +214,7 @@
         return found
 
     def engines(self) -> list[EndpointSpec]:
-        """Return the endpoints that hold models, by name."""
+        """Return the endpoints that are engines, sorted by name."""
         return self._engines
 
     @cached_property
