--- a/chutelink/endpoints/__init__.py
+++ b/chutelink/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Protocol to endpoints: engines and plain services."""
+"""Client and monitoring of endpoints: engines and plain services."""
--- a/chutelink/endpoints/client.py
+++ b/chutelink/endpoints/client.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints; what goes wrong is told apart by whether it was run."""
+"""Client for endpoints; errors tell whether a request may have been run."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 MAX_EVENT_BYTES: Final = 1_000_000
 EVENT_SEPARATOR: Final = b"\n\n"
-_REFUSED_STATUS: Final = 503
-_SEND_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, ConnectionError)
+_NOT_RUN_STATUS: Final = 503
+_TRANSPORT_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, ConnectionError)
 
 
 class WholeAnswer(msgspec.Struct, frozen=True):
-    """An endpoint's answer, complete."""
+    """A complete response of an endpoint."""
 
     status: int
     headers: CIMultiDictProxy
@@ -40,16 +40,16 @@
 
     @property
     def content_type(self) -> str:
-        """The type of the body."""
+        """Content type of the body."""
         return self.headers.get("Content-Type", "application/octet-stream")
 
 
 class Call(msgspec.Struct, frozen=True):
     """A request to an endpoint.
 
-    ``timeout_s`` is the longest silence, and for a whole answer also the longest
-    time that its body may take. ``is_repeatable`` says that a second execution
-    does no harm.
+    ``timeout_s`` limits the time without received data, and in `async_exchange` also
+    the time to read the whole body. ``is_repeatable`` means that the request can
+    safely be run more than once.
     """
 
     method: str
@@ -61,14 +61,14 @@
 
 
 class EndpointClient:
-    """Speaks to engines and plain services.
+    """Client for engines and plain services.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Used where a call may be repeated.
+        Used for calls that may be repeated.
     settings : EndpointsSection
-        Time limits and the order key.
+        Timeouts and the order key.
     """
 
     def __init__(
@@ -76,10 +76,10 @@
     ) -> None:
         self._session = session
         self._settings = settings
-        # A pooled connection that the endpoint has just closed would make it
-        # unknown whether a call was run; calls that must not be repeated
-        # therefore open their own.
-        self._once_session = aiohttp.ClientSession(
+        # If the endpoint closes a pooled connection while a call is sent on it, it
+        # is unknown whether the call was run. Calls that must not be repeated
+        # therefore open a new connection.
+        self._unpooled_session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
                 limit=0, force_close=True, use_dns_cache=False
             ),
@@ -89,37 +89,37 @@
         self._report_decoder = msgspec.json.Decoder(EndpointReport)
 
     async def async_close(self) -> None:
-        """Close the connections of calls that must not be repeated."""
-        await self._once_session.close()
+        """Close the session for calls that must not be repeated."""
+        await self._unpooled_session.close()
 
     @asynccontextmanager
     async def async_open(
         self, spec: EndpointSpec, call: Call
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Open an exchange and check that the answer is to this request.
+        """Send a request and check that the response belongs to it.
 
         Raises
         ------
         EndpointUnreachable
-            No byte was sent.
+            No data was sent.
         EndpointRefused
-            The endpoint says that it did not run the request.
+            The endpoint reported that it did not run the request.
         EndpointFailed
             The request may have been run.
         """
         response = await self._async_send(spec, call)
         try:
-            _check_answer(response, call.headers[HEADER_REQUEST_ID], spec)
+            _check_response(response, call.headers[HEADER_REQUEST_ID], spec)
             yield response
         finally:
-            # Hands the connection back only if the answer was read whole.
+            # The connection returns to the pool only if the body was fully read.
             response.close()
 
     async def _async_send(
         self, spec: EndpointSpec, call: Call
     ) -> aiohttp.ClientResponse:
-        """Send a request and return the answer once its head has arrived."""
-        session = self._session if call.is_repeatable else self._once_session
+        """Send a request and return the response once its headers have arrived."""
+        session = self._session if call.is_repeatable else self._unpooled_session
         step = "endpoint.send"
         try:
             return await session.request(
@@ -136,26 +136,26 @@
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise EndpointUnreachable(str(error), step=step, peer=spec.name) from error
-        except _SEND_FAILURES as error:
-            raise _failed(error, step, spec) from error
+        except _TRANSPORT_ERRORS as error:
+            raise _make_error(error, step, spec) from error
 
     async def async_exchange(self, spec: EndpointSpec, call: Call) -> WholeAnswer:
-        """Send a request and return its whole answer.
+        """Send a request and return the complete response.
 
         Raises
         ------
         EndpointUnreachable, EndpointRefused, EndpointFailed
-            As `async_open`.
+            As in `async_open`.
         """
         async with self.async_open(spec, call) as response:
             try:
                 content = await asyncio.wait_for(response.read(), call.timeout_s)
-            except _SEND_FAILURES as error:
-                raise _failed(error, "endpoint.read", spec) from error
+            except _TRANSPORT_ERRORS as error:
+                raise _make_error(error, "endpoint.read", spec) from error
             return WholeAnswer(response.status, response.headers, content)
 
     async def async_report(self, spec: EndpointSpec) -> tuple[EndpointReport, int]:
-        """Return an engine's report and its size in bytes on the wire."""
+        """Return an engine's report and the number of bytes transferred for it."""
         content, wire_bytes = await self._async_get(spec, PATH_REPORT)
         try:
             return self._report_decoder.decode(content), wire_bytes
@@ -165,14 +165,14 @@
             ) from error
 
     async def async_check_health(self, spec: EndpointSpec) -> int:
-        """Check that a plain service is up; return the size of its answer."""
+        """Check that a plain service is healthy; return its response size in bytes."""
         _, wire_bytes = await self._async_get(spec, PATH_HEALTH)
         return wire_bytes
 
     async def async_order(
         self, spec: EndpointSpec, order: Order, timeout_s: float
     ) -> OrderAnswer:
-        """Send an order to an engine and return its answer.
+        """Send an order to an engine and return the response.
 
         Raises
         ------
@@ -196,55 +196,61 @@
                 return msgspec.json.decode(content, type=OrderAnswer)
         except aiohttp.ClientConnectorError as error:
             raise EndpointUnreachable(str(error), step=step, peer=spec.name) from error
-        except (*_SEND_FAILURES, msgspec.MsgspecError) as error:
-            raise _failed(error, step, spec) from error
+        except (*_TRANSPORT_ERRORS, msgspec.MsgspecError) as error:
+            raise _make_error(error, step, spec) from error
 
     async def _async_get(self, spec: EndpointSpec, path: str) -> tuple[bytes, int]:
-        """Return a body, and its size as it was sent, compressed or not."""
+        """Return a body, and its size as transferred, which may be compressed."""
         step = "endpoint.report"
         timeout = aiohttp.ClientTimeout(total=self._settings.report_timeout_s)
         try:
             async with self._session.get(spec.url + path, timeout=timeout) as response:
                 content = await response.read()
-        except _SEND_FAILURES as error:
-            raise _failed(error, step, spec) from error
+        except _TRANSPORT_ERRORS as error:
+            raise _make_error(error, step, spec) from error
         if response.status != 200:
             message = f"status {response.status}"
             raise EndpointFailed(message, step=step, peer=spec.name)
         return content, response.content_length or len(content)
 
 
-def _failed(error: Exception, step: str, spec: EndpointSpec) -> EndpointFailed:
+def _make_error(error: Exception, step: str, spec: EndpointSpec) -> EndpointFailed:
     message = str(error) or type(error).__name__
     return EndpointFailed(message, step=step, peer=spec.name)
 
 
-def _check_answer(
+def _check_response(
     response: aiohttp.ClientResponse, request_id: str, spec: EndpointSpec
 ) -> None:
-    """Check that an answer is to this request and says where it ends."""
+    """Check that a response belongs to the request and has a defined length."""
     step = "endpoint.answer"
-    is_refusal = HEADER_NOT_RUN in response.headers
-    if response.status == _REFUSED_STATUS and is_refusal:
-        raise EndpointRefused("not run", step=step, peer=spec.name)
-    answered_id = response.headers.get(HEADER_REQUEST_ID)
-    if response.status < 400 and answered_id != request_id:
-        raise EndpointFailed("answer to another request", step=step, peer=spec.name)
+    is_not_run = HEADER_NOT_RUN in response.headers
+    if response.status == _NOT_RUN_STATUS and is_not_run:
+        raise EndpointRefused(
+            "endpoint did not run the request", step=step, peer=spec.name
+        )
+    response_id = response.headers.get(HEADER_REQUEST_ID)
+    if response.status < 400 and response_id != request_id:
+        raise EndpointFailed(
+            "response belongs to another request", step=step, peer=spec.name
+        )
     is_chunked = "chunked" in response.headers.get("Transfer-Encoding", "").lower()
     has_length = "Content-Length" in response.headers
     if not is_chunked and not has_length and response.status not in (204, 304):
-        raise EndpointFailed("answer without an end", step=step, peer=spec.name)
+        raise EndpointFailed(
+            "response without length or chunked encoding", step=step, peer=spec.name
+        )
 
 
 async def async_iter_events(
     response: aiohttp.ClientResponse, spec: EndpointSpec
 ) -> AsyncIterator[bytes]:
-    """Yield whole server-sent events, each with its blank line.
+    """Yield complete server-sent events, each with its trailing blank line.
 
     Raises
     ------
     EndpointFailed
-        The stream broke off inside an event, or an event is too large.
+        The stream ended within an event, or an event is too large.
     """
     step = "endpoint.stream"
     buffer = b""
@@ -257,12 +263,12 @@
                 buffer = buffer[end:]
             if len(buffer) > MAX_EVENT_BYTES:
                 raise EndpointFailed("event too large", step=step, peer=spec.name)
-    except _SEND_FAILURES as error:
-        raise _failed(error, step, spec) from error
+    except _TRANSPORT_ERRORS as error:
+        raise _make_error(error, step, spec) from error
     if buffer:
-        raise EndpointFailed("stream cut inside an event", step=step, peer=spec.name)
+        raise EndpointFailed("stream ended within an event", step=step, peer=spec.name)
 
 
 def is_engine(spec: EndpointSpec) -> bool:
-    """Return whether an endpoint holds models."""
+    """Return whether an endpoint is an engine."""
     return spec.kind is EndpointKind.ENGINE
--- a/chutelink/endpoints/messages.py
+++ b/chutelink/endpoints/messages.py
@@ -1,4 +1,4 @@
-"""What is said between the system and an engine, beside the callers' requests."""
+"""Control messages between the system and an engine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order to an engine; memory is for each accelerator."""
+    """An order to an engine; ``memory_mb`` is per accelerator."""
 
     fence: FencingNumber
     action: OrderAction
@@ -31,7 +31,7 @@
 
 
 class OrderResult(Enum):
-    """What an engine made of an order."""
+    """Result of an order at an engine."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -39,7 +39,7 @@
 
 
 class OrderAnswer(msgspec.Struct, frozen=True):
-    """An engine's answer to an order."""
+    """Response of an engine to an order."""
 
     result: OrderResult
     detail: str = ""
--- a/chutelink/endpoints/monitor.py
+++ b/chutelink/endpoints/monitor.py
@@ -1,4 +1,4 @@
-"""Watch endpoints: polls within a budget of bytes, and the VM list."""
+"""Monitoring of endpoints through polling with a byte budget, and the VM list."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 class EndpointMonitor(Service):
-    """Fills the endpoint table from reports and from the VM list.
+    """Updates the endpoint table from endpoint reports and the VM list.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        The application that owns this service.
     client : EndpointClient
-        To ask the endpoints.
+        Client for the endpoints.
     platform : Platform
-        For the VM list.
+        Provides the VM list.
     table : EndpointTable
-        Filled by this service.
+        Table to update.
     settings : EndpointsSection
-        Interval and budget.
+        Polling interval and byte budget.
     is_watched : callable
-        Whether an endpoint is this process's to watch.
+        Returns whether this process monitors an endpoint.
     """
 
     def __init__(
@@ -58,25 +58,25 @@
         self._settings = settings
         self._is_watched = is_watched
         self._pollers: dict[EndpointName, asyncio.Task] = {}
-        self._requested: dict[EndpointName, asyncio.Event] = {}
+        self._report_requests: dict[EndpointName, asyncio.Event] = {}
         self._mean_bytes = float(INITIAL_REPORT_BYTES)
         self._leaving_vms: frozenset[str] = frozenset()
         self._drained: frozenset[str] = frozenset()
         self._round: asyncio.Future | None = None
-        self._round_asked_s = float("-inf")
+        self._round_started_s = float("-inf")
         self.on_change: Callable[[EndpointName], None] = lambda name: None
         self.on_vms: Callable[[list[Vm]], None] = lambda vms: None
 
     def sync(self, drained: frozenset[str]) -> None:
-        """Start and stop polling after a change of the fleet or the drains."""
+        """Start and stop pollers after the fleet or the drained names changed."""
         self._drained = drained
         self._table.note_departures(self._leaving_vms, drained)
         watched = {name for name in self._table.rows if self._is_watched(name)}
         for name in self._pollers.keys() - watched:
             self._pollers.pop(name).cancel()
-            self._requested.pop(name, None)
+            self._report_requests.pop(name, None)
         for name in watched - self._pollers.keys():
-            self._requested[name] = asyncio.Event()
+            self._report_requests[name] = asyncio.Event()
             poller = asyncio.ensure_future(self._async_poll_loop(name))
             self._pollers[name] = poller
 
@@ -86,39 +86,39 @@
             poller.cancel()
 
     def interval_s(self) -> float:
-        """Return the pause between polls of one endpoint.
+        """Return the interval between polls of one endpoint.
 
-        It is stretched so that all polls together keep to the budget.
+        It is extended if necessary so that all polls together stay within the budget.
         """
         bytes_per_round = len(self._pollers) * self._mean_bytes
-        budget_s = bytes_per_round / self._settings.poll_budget_bytes_s
-        return max(self._settings.poll_interval_s, budget_s)
+        budget_interval_s = bytes_per_round / self._settings.poll_budget_bytes_s
+        return max(self._settings.poll_interval_s, budget_interval_s)
 
     async def _async_poll_loop(self, name: EndpointName) -> None:
         await asyncio.sleep(self.interval_s() * self._core.rng.random())
         while not self.should_stop:
             await self.async_poll(name)
             pause_s = self.interval_s() * self._core.rng.uniform(0.8, 1.0)
-            await self._async_pause(name, pause_s)
+            await self._async_wait(name, pause_s)
 
-    async def _async_pause(self, name: EndpointName, pause_s: float) -> None:
-        """Let the time between polls pass, or less if a report is requested."""
-        requested = self._requested[name]
+    async def _async_wait(self, name: EndpointName, pause_s: float) -> None:
+        """Wait until the next poll is due or a report is requested."""
+        report_request = self._report_requests[name]
         try:
             async with asyncio.timeout(pause_s):
-                await requested.wait()
+                await report_request.wait()
         except TimeoutError:
             return
-        requested.clear()
+        report_request.clear()
 
     def request_report(self, name: EndpointName) -> None:
-        """Bring the next poll of an endpoint forward: it has changed."""
-        requested = self._requested.get(name)
-        if requested is not None:
-            requested.set()
+        """Poll an endpoint immediately because its state has changed."""
+        report_request = self._report_requests.get(name)
+        if report_request is not None:
+            report_request.set()
 
     async def async_poll(self, name: EndpointName) -> bool:
-        """Ask one endpoint for its report now; return whether it answered."""
+        """Poll one endpoint immediately; return whether it responded."""
         row = self._table.rows.get(name)
         if row is None:
             return False
@@ -144,30 +144,30 @@
         return row.report_failures == 0
 
     async def async_refresh(self, limit_s: float) -> None:
-        """Return when all endpoints were asked for reports after this call.
+        """Wait for a round of polls that started after this call.
 
-        Concurrent calls share a round of polls. Rounds begin an interval apart, so
-        that all polls together keep to twice the budget.
+        Concurrent calls share a round. Rounds start at least one interval apart, so
+        that all polls together stay within twice the budget.
 
         Parameters
         ----------
         limit_s : float
-            Returns at once where a round could only begin later than this.
+            Return immediately if the next round cannot start within this time.
         """
         called_s = self._core.clock()
-        while self._round_asked_s < called_s:
+        while self._round_started_s < called_s:
             if self._round is None or self._round.done():
-                next_s = self._round_asked_s + self.interval_s()
+                next_s = self._round_started_s + self.interval_s()
                 pause_s = max(0.0, next_s - self._core.clock())
                 if pause_s > limit_s:
                     return
                 await asyncio.sleep(pause_s)
                 if self._round is None or self._round.done():
-                    self._begin_round()
+                    self._start_round()
             await asyncio.shield(self._round)
 
-    def _begin_round(self) -> None:
-        self._round_asked_s = self._core.clock()
+    def _start_round(self) -> None:
+        self._round_started_s = self._core.clock()
         self._round = asyncio.gather(*map(self.async_poll, self._pollers))
         self._core.events.debug("reports_requested", endpoints=len(self._pollers))
 
@@ -180,8 +180,8 @@
                 self._take_vms(vms)
             except PlatformUnavailable as error:
                 self._core.events.warning("vm_list_failed", error=error)
-            stretch_s = len(vms) * BYTES_PER_VM / VM_LIST_BUDGET_BYTES_S
-            await self.sleep(max(VM_LIST_INTERVAL_S, stretch_s))
+            budget_interval_s = len(vms) * BYTES_PER_VM / VM_LIST_BUDGET_BYTES_S
+            await self.sleep(max(VM_LIST_INTERVAL_S, budget_interval_s))
 
     def _take_vms(self, vms: list[Vm]) -> None:
         leaving = frozenset(vm.id for vm in vms if vm.state is VmState.LEAVING)
--- a/chutelink/endpoints/news.py
+++ b/chutelink/endpoints/news.py
@@ -1,4 +1,4 @@
-"""What directors tell gateways of endpoints, as CBOR."""
+"""Messages from directors to gateways about endpoints, encoded as CBOR."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from ..ids import EndpointName
 
 TOPIC_LOADED = "endpoint_loaded"
-_DECODE_FAILURES = (cbor2.CBORDecodeError, ValueError, TypeError, LookupError)
+_DECODE_ERRORS = (cbor2.CBORDecodeError, ValueError, TypeError, LookupError)
 
 
 class EndpointLoaded(msgspec.Struct, frozen=True, array_like=True):
-    """An endpoint has loaded something: its next report shows it.
+    """Announces that an endpoint has loaded an artifact, as its next report will show.
 
-    Told before what it replaces is unloaded elsewhere.
+    It is sent before the replica that this artifact replaces is unloaded elsewhere.
     """
 
     endpoint: EndpointName
 
 
-def encode_loaded(news: EndpointLoaded) -> bytes:
-    """Return a message as CBOR."""
-    return cbor2.dumps(msgspec.to_builtins(news))
+def encode_loaded(message: EndpointLoaded) -> bytes:
+    """Encode a message as CBOR."""
+    return cbor2.dumps(msgspec.to_builtins(message))
 
 
 def decode_loaded(body: bytes, peer: str) -> EndpointLoaded:
-    """Return the message.
+    """Decode a message.
 
     Raises
     ------
     PeerMessageInvalid
-        The bytes are not such a message.
+        The body is not a valid message of this type.
     """
     try:
         return msgspec.convert(cbor2.loads(body), EndpointLoaded)
-    except _DECODE_FAILURES as error:
+    except _DECODE_ERRORS as error:
         step = "endpoint_loaded.decode"
         raise PeerMessageInvalid(str(error), step=step, peer=peer) from error
--- a/chutelink/store/http.py
+++ b/chutelink/store/http.py
@@ -136,8 +136,8 @@
     ) -> Answer:
         """Send a call and classify failures by whether it may have taken effect.
 
-        ``wait_s`` is the time by which the service may delay its response, as in a
-        long poll; it is added to the timeout. A read without a response is retried
+        ``wait_s`` is how long the service may hold back its response in a long poll;
+        it is added to the timeout. A read without a response is retried
         once, with ``retry_params``, because the rest of the timeout leaves no time
         for a long poll. Reads are not retried while calls are failing: by then the
         unresponsive connections are closed.
--- a/tests/endpoints/test_monitor.py
+++ b/tests/endpoints/test_monitor.py
@@ -1,4 +1,4 @@
-"""How soon a change of an endpoint is seen, from the settings alone."""
+"""Tests that the default settings detect endpoint changes quickly enough."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 LEAVING_BOUND_S = 3.0
 OPA_ENGINES = 9
 OPA_REPORT_BYTES = 359 + 300
-"""A compressed report of 15 artifacts, and its headers."""
+"""Size of a compressed report of 15 artifacts, plus its headers."""
 
 
 def make_monitor(endpoints):
@@ -32,25 +32,25 @@
     return monitor
 
 
-def test_the_vm_list_is_seen_within_the_bound():
+def test_vm_list_is_read_within_bound():
     platform = PlatformSection(url="http://x", key="k")
     assert VM_LIST_INTERVAL_S + platform.timeout_s <= LEAVING_BOUND_S
 
 
-def test_opas_engines_are_polled_often_enough_within_the_budget():
+def test_opa_engines_are_polled_every_second_within_budget():
     monitor = make_monitor(OPA_ENGINES)
     monitor._mean_bytes = OPA_REPORT_BYTES
     assert monitor.interval_s() <= 1.0
 
 
 @pytest.mark.parametrize("endpoints", [1, 9, 100, 670])
-def test_polls_keep_to_the_budget(endpoints):
+def test_polls_stay_within_budget(endpoints):
     monitor = make_monitor(endpoints)
-    sent = endpoints * monitor._mean_bytes / monitor.interval_s()
-    assert sent <= EndpointsSection().poll_budget_bytes_s * 1.0001
+    sent_bytes_s = endpoints * monitor._mean_bytes / monitor.interval_s()
+    assert sent_bytes_s <= EndpointsSection().poll_budget_bytes_s * 1.0001
 
 
-def test_requests_that_need_newer_reports_share_a_round_of_polls():
+def test_concurrent_refreshes_share_one_round_of_polls():
     async def async_test():
         monitor = make_monitor(3)
         loop = asyncio.get_running_loop()
@@ -74,7 +74,7 @@
     run_virtually(async_test())
 
 
-def test_a_requested_report_is_read_at_once():
+def test_requested_report_is_polled_immediately():
     async def async_test():
         monitor = make_monitor(0)
         loop = asyncio.get_running_loop()
@@ -90,10 +90,10 @@
         monitor._table.note_departures = lambda leaving, drained: None
         monitor.sync(frozenset())
         await asyncio.sleep(61.0)
-        read = len(polled_s)
+        polls_before = len(polled_s)
         monitor.request_report("e")
         await asyncio.sleep(0.01)
-        assert len(polled_s) == read + 1
+        assert len(polled_s) == polls_before + 1
         await monitor.on_stop()
 
     run_virtually(async_test())
--- a/tests/endpoints/test_news.py
+++ b/tests/endpoints/test_news.py
@@ -1,4 +1,4 @@
-"""What directors tell gateways of endpoints."""
+"""Tests for messages from directors to gateways about endpoints."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from chutelink.exceptions import PeerMessageInvalid
 
 
-def test_a_message_is_read_as_it_was_written():
-    news = EndpointLoaded("engine-1")
-    assert decode_loaded(encode_loaded(news), "d1") == news
+def test_encoded_message_is_decoded_unchanged():
+    message = EndpointLoaded("engine-1")
+    assert decode_loaded(encode_loaded(message), "d1") == message
 
 
 @given(st.binary(max_size=40))
-def test_other_bytes_are_told_from_it(body):
+def test_arbitrary_bytes_raise_only_peer_message_invalid(body):
     try:
         decode_loaded(body, "d1")
     except PeerMessageInvalid as error:
         assert error.peer == "d1"
 
 
-def test_a_message_of_another_form_is_not_taken():
+def test_message_of_other_type_is_rejected():
     with pytest.raises(PeerMessageInvalid):
         decode_loaded(b"\x05", "d1")
