--- a/chutelink/endpoints/monitor.py
+++ b/chutelink/endpoints/monitor.py
@@ -177,13 +177,13 @@
             vms: list[Vm] = []
             try:
                 vms = await self._platform.vms.async_list()
-                self._take_vms(vms)
+                self._update_vms(vms)
             except PlatformUnavailable as error:
                 self._core.events.warning("vm_list_failed", error=error)
             budget_interval_s = len(vms) * BYTES_PER_VM / VM_LIST_BUDGET_BYTES_S
             await self.sleep(max(VM_LIST_INTERVAL_S, budget_interval_s))
 
-    def _take_vms(self, vms: list[Vm]) -> None:
+    def _update_vms(self, vms: list[Vm]) -> None:
         leaving = frozenset(vm.id for vm in vms if vm.state is VmState.LEAVING)
         if leaving != self._leaving_vms:
             self._leaving_vms = leaving
--- a/chutelink/tables/callers.py
+++ b/chutelink/tables/callers.py
@@ -51,14 +51,16 @@
 
     def sync(self, fleet: FleetSpec, gateways: int, now_s: float) -> None:
         """Apply the callers of a fleet; bursts are split evenly between gateways."""
-        share = 1.0 / max(1, gateways)
+        even_share = 1.0 / max(1, gateways)
         self._rates_per_s = {n: c.rate_per_s for n, c in fleet.callers.items()}
-        self._even_share_per_s = {n: r * share for n, r in self._rates_per_s.items()}
+        self._even_share_per_s = {
+            n: r * even_share for n, r in self._rates_per_s.items()
+        }
         for name in self._buckets.keys() - fleet.callers.keys():
             del self._buckets[name]
         for name, caller in fleet.callers.items():
-            rate_per_s = caller.rate_per_s * share
-            burst = max(1.0, caller.burst * share)
+            rate_per_s = caller.rate_per_s * even_share
+            burst = max(1.0, caller.burst * even_share)
             bucket = self._buckets.get(name)
             if bucket is None:
                 self._buckets[name] = TokenBucket(rate_per_s, burst, burst, now_s)
--- a/chutelink/tables/endpoints.py
+++ b/chutelink/tables/endpoints.py
@@ -117,8 +117,8 @@
     def free_slots(self) -> int:
         """Return the number of further requests that this process may send now."""
         others = self.estimated_load() - self.inflight
-        share = max(1, self.spec.slots - others)
-        return share - self.inflight
+        own_slots = max(1, self.spec.slots - others)
+        return own_slots - self.inflight
 
 
 class EndpointTable:
--- a/tests/store/test_http.py
+++ b/tests/store/test_http.py
@@ -20,7 +20,7 @@
 from chutelink.store.breaker import FAILURES_TO_OPEN
 from chutelink.store.http import SECOND_TRY_SHARE, HttpCaller, ReadRetry
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 TIMEOUT_S = 0.5
 
 
@@ -40,7 +40,7 @@
         while await self._async_request(reader):
             if is_unresponsive and answered:
                 await asyncio.Event().wait()
-            writer.write(ANSWER)
+            writer.write(RESPONSE)
             answered += 1
 
     async def _async_request(self, reader) -> bool:
@@ -76,8 +76,8 @@
 
     async def async_test(caller):
         await caller.async_call("GET", "/x", step="x", is_read=True)
-        answer = await caller.async_call("GET", "/x", step="x", is_read=True)
-        assert answer.body == b"ok"
+        response = await caller.async_call("GET", "/x", step="x", is_read=True)
+        assert response.body == b"ok"
         assert (server.connections, server.calls) == (2, 3)
         await caller.async_call("GET", "/x", step="x", is_read=True)
         assert caller.breaker.calls == 4
@@ -144,13 +144,13 @@
             loop = asyncio.get_running_loop()
             loop.call_later(retry_after_s / 4, time.sleep, retry_after_s)
             await asyncio.sleep(retry_after_s / 2)
-            writer.write(ANSWER)
+            writer.write(RESPONSE)
 
     server = BlockedLoopServer(unresponsive_connections=0)
 
     async def async_test(caller):
-        answer = await caller.async_call("GET", "/x", step="x", is_read=True)
-        assert answer.body == b"ok"
+        response = await caller.async_call("GET", "/x", step="x", is_read=True)
+        assert response.body == b"ok"
         assert (server.calls, server.retries) == (1, [])
 
     run(server, async_test)
@@ -171,10 +171,10 @@
             line = await reader.readuntil(b"\r\n\r\n")
             if b"wait_ms=0" not in line:
                 await asyncio.sleep(2 * TIMEOUT_S)
-            writer.write(ANSWER)
+            writer.write(RESPONSE)
 
     async def async_test(caller):
-        answer = await caller.async_call(
+        response = await caller.async_call(
             "GET",
             "/x",
             step="x",
@@ -183,7 +183,7 @@
             is_read=True,
             wait_s=2 * TIMEOUT_S,
         )
-        assert answer.body == b"ok"
+        assert response.body == b"ok"
 
     run(LongPollServer(unresponsive_connections=0), async_test)
 
