--- a/chutelink/platform/__init__.py
+++ b/chutelink/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Adapter to the operators' prepared machines: translation, and nothing else.
+"""Adapter to the platform of the operators' prepared machines.
 
-Each module turns one of their interfaces into the product's types, and no other
-package knows their names.
+Each module translates one external interface into internal types. No other package
+depends on the external names.
 """
--- a/chutelink/platform/adapter.py
+++ b/chutelink/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The prepared machines' platform as one adapter."""
+"""Platform adapter for the operators' prepared machines."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class PreparedMachines(PlatformAdapter):
-    """Makes the parts that speak the prepared machines' protocols."""
+    """Creates the components that use the prepared machines' protocols."""
 
     def make_table(
         self,
@@ -35,36 +35,36 @@
         settings: PlatformSection,
         on_retry: Callable[[ReadRetry], None],
     ) -> WatchedTable:
-        """Return the table service."""
+        """Return the client of the table service."""
         return async_setup_store(session, settings, on_retry)
 
     def make_engine_client(self, session: aiohttp.ClientSession) -> EngineClient:
-        """Return the client for reports and orders."""
+        """Return the client for endpoint reports and orders."""
         return HttpEngineClient(session)
 
     def make_dialect(self) -> Dialect:
-        """Return the codec of callers' and endpoints' headers."""
+        """Return the codec for the headers of callers and endpoints."""
         return PlatformDialect()
 
     def decode_config(self, value: Any) -> RoutingConfig:
-        """Return a configuration from its row."""
+        """Decode the routing configuration from its row value."""
         return decode_config(value)
 
     def decode_endpoint(self, name: str, value: Any) -> EndpointRecord:
-        """Return an endpoint's record from its row."""
+        """Decode an endpoint record from its row value."""
         return decode_registration(name, value)
 
     def compact_row(self, key: str, value: Any) -> Any:
-        """Return a row's value without signs of life and without keys."""
+        """Return a row value without heartbeat fields and plaintext keys."""
         if key == KEY_ROUTING_CONFIG:
             return hash_keys(value)
         is_endpoint = key.startswith(f"{TABLE_ENDPOINTS}/")
         return compact_registration(value) if is_endpoint else value
 
     def make_directory_handler(self, directory: Directory) -> Handler:
-        """Return the handler of callers' questions for addresses."""
+        """Return the handler for address lookups by callers."""
         return make_directory_handler(directory)
 
     def make_ready_handler(self, is_ready: Callable[[], bool]) -> Handler:
-        """Return the handler of the readiness check."""
+        """Return the handler for readiness checks."""
         return make_ready_handler(is_ready)
--- a/chutelink/platform/configuration.py
+++ b/chutelink/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as it lies in their store."""
+"""Decoding of the routing configuration in the operators' store."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .customers import WireCustomer, decode_customers, hash_keys
 
 MS_PER_S = 1000.0
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAMING,
@@ -30,21 +30,26 @@
 MIN_PATIENCE_S = 2.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_PAUSES = 8.0
-"""Callers leave a stream that is silent for the longest of the three."""
+"""Callers abandon a stream with no event for the longest of these three times.
+
+The second is a multiple of the route's latency objective, the third of its target
+for the gap between events.
+"""
 
 
 class _WireBackend(msgspec.Struct):
-    """One of the services that a route is split over."""
+    """A weighted backend service of a route."""
 
     service: str
     weight: float
 
 
 class _WireRoute(msgspec.Struct):
-    """A route; ``attempts`` counts endpoints, the first one included.
+    """A route.
 
-    ``sticky`` marks routes whose requests share parts of their prompts, and
-    ``anonymous`` those that need no key.
+    ``attempts`` is the maximum number of endpoints tried, including the first.
+    ``sticky`` marks routes whose requests share prompt prefixes; ``anonymous`` marks
+    routes that require no key.
     """
 
     name: str
@@ -64,9 +69,11 @@
 
 
 class _WireModel(msgspec.Struct):
-    """A model; ``adapters`` is how many there are, named a1, a2 and so on.
+    """A model.
 
-    ``load_s`` is from the weight store, ``warm_s`` from copies in memory.
+    ``adapters`` is the number of adapters, which are named a1, a2 and so on.
+    ``load_s`` is the load time from the weight store, ``disk_s`` from a copy on disk
+    and ``warm_s`` from a copy in memory.
     """
 
     name: str
@@ -79,9 +86,9 @@
 
 
 class _WireEngine(msgspec.Struct):
-    """What each endpoint of a service of engines can hold.
+    """Capacity of each endpoint of an engine service.
 
-    ``disk_mb`` is for copies of weights on the endpoint's own disk.
+    ``disk_mb`` is the space for copies of weights on the endpoint's local disk.
     """
 
     weights_mb: float
@@ -94,7 +101,7 @@
 
 
 class _WireService(msgspec.Struct):
-    """A service."""
+    """A service and the connection limit of its endpoints."""
 
     name: str
     health_path: str = "/health"
@@ -103,7 +110,7 @@
 
 
 class _WireLimits(msgspec.Struct):
-    """What callers may send."""
+    """Limits and timeouts for requests of callers."""
 
     header_bytes: int = CallerLimits().max_header_bytes
     body_bytes: int = CallerLimits().max_body_bytes
@@ -112,7 +119,7 @@
 
 
 class _WireConfig(msgspec.Struct):
-    """A whole configuration; without ``tenants`` callers need no keys."""
+    """The complete configuration; if ``tenants`` is absent, callers need no keys."""
 
     version: int
     routes: list[_WireRoute]
@@ -122,12 +129,12 @@
 
 
 def decode_config(value: Any) -> RoutingConfig:
-    """Return the product's configuration.
+    """Decode and validate the routing configuration.
 
     Raises
     ------
     ConfigInvalid
-        Something in it is missing, malformed or names what is not there.
+        A field is missing or malformed, or refers to an undefined name.
     """
     try:
         wire = msgspec.convert(hash_keys(value), _WireConfig)
@@ -151,9 +158,11 @@
 
 
 def _decode_route(wire: _WireRoute, services: dict[ServiceName, ServiceSpec]) -> Route:
-    kind = KINDS.get(wire.kind)
+    kind = ROUTE_KINDS.get(wire.kind)
     if kind is None:
-        raise ConfigInvalid(f"kind {wire.kind!r}", step="config.route", peer=wire.name)
+        raise ConfigInvalid(
+            f"unknown route kind {wire.kind!r}", step="config.route", peer=wire.name
+        )
     backends = wire.backends or [_WireBackend(wire.service, 1.0)]
     for backend in backends:
         if backend.service not in services:
@@ -186,7 +195,7 @@
 
 
 def _patience_s(objective_s: float, max_pause_s: float) -> float:
-    """Return how long these callers wait for the next event of a stream."""
+    """Return how long callers wait for the next event of a stream."""
     return max(
         MIN_PATIENCE_S,
         PATIENCE_OBJECTIVES * objective_s,
--- a/chutelink/platform/customers.py
+++ b/chutelink/platform/customers.py
@@ -1,4 +1,4 @@
-"""Customers as they lie in the operators' configuration, where they are tenants."""
+"""Decoding of customers, which the operators' configuration calls tenants."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 FIELD_CUSTOMERS = "tenants"
 FIELD_KEYS = "keys"
 FIELD_KEY_HASHES = "key_hashes"
-"""Stands in the place of the keys as soon as a configuration was read."""
+"""Replaces ``keys`` as soon as a configuration has been read."""
 FIELD_PROBLEM = "key_problem"
 UNITS = {
     "": QuotaUnit.REQUESTS,
@@ -25,9 +25,10 @@
 
 
 class WireCustomer(msgspec.Struct):
-    """A customer; ``plain_tokens`` is what a request counts that names no tokens.
+    """A customer.
 
-    A ``rate_per_s`` of 0 means that there is no limit, whatever ``burst`` says.
+    ``plain_tokens`` is the quota cost of a request without a token count. A
+    ``rate_per_s`` of 0 means no limit, regardless of ``burst``.
     """
 
     name: str
@@ -41,65 +42,65 @@
 
 
 def hash_keys(config: Any) -> Any:
-    """Return a configuration with the hashes of keys in place of the keys.
+    """Return a configuration with plaintext keys replaced by their hashes.
 
-    Keys are so neither kept nor told to other daemons. What is wrong with a key can
-    only be seen here, and is said when the configuration is decoded.
+    Plaintext keys are therefore never stored or sent to other daemons. A malformed key
+    can only be detected here; it is reported when the configuration is decoded.
     """
     if not isinstance(config, dict) or FIELD_CUSTOMERS not in config:
         return config
     customers = config[FIELD_CUSTOMERS]
     if not isinstance(customers, list):
-        # The decoder refuses it; nothing of it may be kept, since it may hold keys.
+        # The decoder rejects this value. It may contain keys, so it is not kept.
         return config | {FIELD_CUSTOMERS: None}
-    return config | {FIELD_CUSTOMERS: [_hash_keys_of(c) for c in customers]}
+    return config | {FIELD_CUSTOMERS: [_hash_customer_keys(c) for c in customers]}
 
 
-def _hash_keys_of(customer: Any) -> Any:
+def _hash_customer_keys(customer: Any) -> Any:
     if not isinstance(customer, dict) or FIELD_KEYS not in customer:
         return customer
     keys = customer[FIELD_KEYS]
-    problem = _find_problem(keys)
+    problem = _check_keys(keys)
     kept = {name: v for name, v in customer.items() if name != FIELD_KEYS}
     if problem:
         return kept | {FIELD_PROBLEM: problem}
     return kept | {FIELD_KEY_HASHES: [hash_key(key) for key in keys]}
 
 
-def _find_problem(keys: Any) -> str:
-    """Return what is wrong with a list of keys, without naming one."""
+def _check_keys(keys: Any) -> str:
+    """Return a description of the first invalid key, without its text, or ""."""
     if not isinstance(keys, list):
-        return "keys are not a list"
-    for place, key in enumerate(keys):
+        return "keys must be a list"
+    for index, key in enumerate(keys):
         if not isinstance(key, str):
-            return f"key {place} is not text"
+            return f"key {index} is not a string"
         if not key.strip():
-            return f"key {place} is empty"
+            return f"key {index} is empty"
         if len(key.encode("utf-8", "surrogateescape")) > MAX_KEY_BYTES:
-            return f"key {place} is longer than {MAX_KEY_BYTES} bytes"
+            return f"key {index} is longer than {MAX_KEY_BYTES} bytes"
     return ""
 
 
 def decode_customers(wires: list[WireCustomer]) -> dict[CustomerName, Customer]:
-    """Return the customers.
+    """Decode customers, by name.
 
     Raises
     ------
     ConfigInvalid
-        A name stands twice, a key is malformed or held by two, or a limit is no
-        amount.
+        A name is empty or duplicated, a key is malformed or shared by two customers,
+        or a limit is negative.
     """
     customers: dict[CustomerName, Customer] = {}
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for wire in wires:
         if not wire.name or wire.name in customers:
-            raise _invalid("a customer's name is empty or stands twice", wire.name)
+            raise _make_error("customer name is empty or duplicated", wire.name)
         if wire.key_problem:
-            raise _invalid(wire.key_problem, wire.name)
+            raise _make_error(wire.key_problem, wire.name)
         for key_hash in wire.key_hashes:
-            if holders.setdefault(key_hash, wire.name) != wire.name:
-                other = holders[key_hash]
-                raise _invalid(f"holds a key of {other!r} too", wire.name)
+            if owners.setdefault(key_hash, wire.name) != wire.name:
+                other = owners[key_hash]
+                raise _make_error(f"shares a key with customer {other!r}", wire.name)
         customers[CustomerName(wire.name)] = Customer(
             CustomerName(wire.name),
             tuple(KeyHash(key_hash) for key_hash in wire.key_hashes),
@@ -112,13 +113,13 @@
 def _decode_quota(wire: WireCustomer) -> Quota | None:
     unit = UNITS.get(wire.unit)
     if unit is None:
-        raise _invalid(f"unit {wire.unit!r}", wire.name)
+        raise _make_error(f"unknown quota unit {wire.unit!r}", wire.name)
     if min(wire.rate_per_s, wire.burst, wire.plain_tokens) < 0:
-        raise _invalid("a limit is below 0", wire.name)
+        raise _make_error("quota limits must not be negative", wire.name)
     if not wire.rate_per_s:
         return None
     return Quota(unit, wire.rate_per_s, wire.burst, wire.plain_tokens)
 
 
-def _invalid(problem: str, customer: str) -> ConfigInvalid:
+def _make_error(problem: str, customer: str) -> ConfigInvalid:
     return ConfigInvalid(problem, step="config.customer", peer=customer)
--- a/chutelink/platform/endpoints.py
+++ b/chutelink/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""What endpoints register and report, and the orders that they take."""
+"""Wire formats of endpoint registrations, reports and orders."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 class _WireState(Enum):
-    """The states that endpoints report; any other is not theirs."""
+    """States that endpoints may register; any other value is rejected."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class _WireModel(msgspec.Struct):
-    """A resident model."""
+    """A model in accelerator memory, with its loaded adapters."""
 
     name: str
     version: int = 0
@@ -42,18 +42,18 @@
 
 
 class _WireCopies(msgspec.Struct):
-    """Models whose weights an endpoint keeps copies of, the least recent first."""
+    """Models with local copies of their weights, in eviction order."""
 
     in_memory: list[str] = []
     on_disk: list[str] = []
 
 
 class _WireRegistration(msgspec.Struct):
-    """A row of the endpoints' table.
+    """A row of the endpoint table.
 
-    Its ``seq`` numbers heartbeats and is not decoded; the one of reports counts
-    accepted orders. ``version`` is that of the endpoint's software; ``born`` is the
-    Unix time of its process's start in ms.
+    ``version`` is the version of the endpoint's software; ``born`` is the start of its
+    process as Unix time in ms. The field ``seq`` numbers heartbeats here and is not
+    decoded; in reports, it counts accepted orders.
     """
 
     service: Annotated[str, Meta(min_length=1)]
@@ -73,12 +73,12 @@
 
 
 class _WireReport(msgspec.Struct):
-    """Answer to a report call.
+    """Response to a report request.
 
-    ``seq`` counts the orders accepted; ``busy`` is true while a load or unload of
-    a model is carried out; ``coming`` has adapters on their way, as
-    MODEL/NAME@VERSION; ``kv_used`` is the memory that cannot be reclaimed; ``born`` is
-    the Unix time of its process's start in ms, with which ``seq`` begins anew.
+    ``seq`` counts the accepted orders; ``busy`` is true while a model is being loaded
+    or unloaded; ``coming`` lists adapters being loaded, as MODEL/NAME@VERSION;
+    ``kv_used`` is the KV cache memory that cannot be reclaimed; ``born`` is the start
+    of the process as Unix time in ms. ``seq`` starts again with each process.
     """
 
     models: list[_WireModel] = []
@@ -94,19 +94,22 @@
 
 
 def compact_registration(value: Any) -> Any:
-    """Return the fields that are decoded; another value is left to the decoder."""
+    """Keep only the decoded fields, so that a heartbeat alone is not a change.
+
+    A value that is not an object is returned unchanged for the decoder to reject.
+    """
     if not isinstance(value, dict):
         return value
     return {key: value[key] for key in REGISTRATION_FIELDS if key in value}
 
 
 def decode_registration(endpoint: str, value: Any) -> EndpointRecord:
-    """Return the record of an endpoint from its row.
+    """Decode an endpoint record from its row value.
 
     Raises
     ------
     EndpointFailed
-        The row is not a registration.
+        The value is not a valid registration.
     """
     try:
         wire = msgspec.convert(value, _WireRegistration)
@@ -115,7 +118,9 @@
             str(error), step="registration.decode", peer=endpoint
         ) from error
     if int(wire.address.rpartition(":")[2]) > MAX_PORT:
-        raise EndpointFailed("no such port", step="registration.decode", peer=endpoint)
+        raise EndpointFailed(
+            f"port above {MAX_PORT}", step="registration.decode", peer=endpoint
+        )
     return EndpointRecord(
         id=EndpointId(endpoint),
         service=ServiceName(wire.service),
@@ -129,12 +134,12 @@
 
 
 def decode_report(endpoint: EndpointId, body: bytes) -> EndpointReport:
-    """Return what an endpoint says of itself.
+    """Decode an endpoint's report.
 
     Raises
     ------
     EndpointFailed
-        The body is not a report.
+        The body is not a valid report.
     """
     try:
         wire = msgspec.json.decode(body, type=_WireReport)
@@ -144,7 +149,7 @@
         sequence=wire.seq,
         is_busy=wire.busy,
         models=_decode_models(wire.models),
-        coming=tuple(_decode_coming(text) for text in wire.coming),
+        coming=tuple(_decode_adapter(text) for text in wire.coming),
         in_memory=frozenset(ModelName(name) for name in wire.at_hand.in_memory),
         on_disk=tuple(ModelName(name) for name in wire.at_hand.on_disk),
         queued=wire.queued,
@@ -156,10 +161,10 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Return the body of an order.
+    """Encode the body of an order request.
 
     ``expected_rev`` is the number of orders that the endpoint must have accepted
-    so far; in the store the same name holds conditions on rows.
+    so far. In store transactions, the same key holds conditions on rows.
     """
     body: dict[str, Any] = {
         "op": "load" if order.action is OrderAction.LOAD else "unload",
@@ -182,6 +187,6 @@
     }
 
 
-def _decode_coming(text: str) -> tuple[ModelName, AdapterName]:
+def _decode_adapter(text: str) -> tuple[ModelName, AdapterName]:
     model, _, rest = text.partition("/")
     return ModelName(model), AdapterName(rest.partition("@")[0])
--- a/chutelink/platform/engine.py
+++ b/chutelink/platform/engine.py
@@ -1,4 +1,4 @@
-"""Reports of engine endpoints, and orders to them, over HTTP."""
+"""HTTP client for reports of engine endpoints and orders to them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .headers import HEADER_EXPECT_INSTANCE
 
 TIMEOUT_S = 0.6
-"""Endpoints answer within some 10 ms; one that is cut off never does."""
+"""Endpoints answer within about 10 ms; a partitioned one never does."""
 HTTP_OK = 200
 ORDER_ANSWERS = {
     200: OrderAnswer.ALREADY_HOLDS,
@@ -24,12 +24,12 @@
 
 
 class HttpEngineClient(EngineClient):
-    """Calls engine endpoints.
+    """Requests reports from engine endpoints and sends them orders.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Connections, kept between calls.
+        HTTP session whose connections are reused between calls.
     """
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
@@ -37,7 +37,7 @@
         self._timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
 
     async def async_report(self, endpoint: Endpoint) -> EndpointReport:
-        """Return the report of an endpoint."""
+        """Fetch the report of an endpoint."""
         peer = endpoint.record.id
         status, body = await self._async_call(endpoint, "GET", PATH_REPORT, None)
         if status != HTTP_OK:
@@ -45,7 +45,7 @@
         return decode_report(peer, body)
 
     async def async_order(self, endpoint: Endpoint, order: Order) -> OrderAnswer:
-        """Send an order."""
+        """Send an order to an endpoint and return its answer."""
         body = encode_order(order)
         status, _ = await self._async_call(endpoint, "POST", PATH_ORDER, body)
         answer = ORDER_ANSWERS.get(status)
--- a/chutelink/platform/headers.py
+++ b/chutelink/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of the operators' callers and endpoints."""
+"""Codec for the headers of the operators' callers and endpoints."""
 
 from __future__ import annotations
 
@@ -30,32 +30,35 @@
 HEADER_SEAL = "X-Server-Seal"
 HEADER_NOT_EXECUTED = "X-Not-Executed"
 HEADER_LIMIT = "Server-Limit"
-"""Requests a second that an endpoint takes from all daemons together."""
+"""Maximum requests per second to an endpoint, summed over all daemons."""
 HEADER_CUSTOMER = "X-Tenant"
-"""Names the customer to endpoints; callers may send it, and it says nothing then."""
+"""Tells endpoints the customer; a value sent by a caller is discarded."""
 RESERVED_HEADERS = (
     HEADER_EXPECT_INSTANCE,
     HEADER_URGENCY,
-    # Whose a request is, this system alone says; no key leaves it.
+    # Only the daemon may assert the customer, and keys must not reach endpoints.
     HEADER_CUSTOMER,
     HEADER_KEY,
-    # Take a reserved slot, keep or copy the memory of a run, or read another's.
+    # Use a reserved slot; keep or copy the KV cache of a run, or read that of another.
     "X-Hold",
     "X-Pin-Ms",
     "X-Kv-Backup",
     "Kv-From",
     "Kv-Fetch",
 )
-"""What the system alone may say to an endpoint; callers send some of them too."""
+"""Headers that only a daemon may send to an endpoint; removed from requests."""
 HEADER_LEAVING = "Server-Leaving"
 LEAVING = "1"
 HEADER_DATE = "Date"
 MAX_PAUSE_S = 300.0
-"""Longest pause that is kept; an endpoint that wants more is asked again then."""
+"""Upper bound for a requested pause; an endpoint that needs longer repeats it."""
 HTTP_MISDIRECTED = 421
 HTTP_UNAVAILABLE = 503
 NOT_RUN_STATUSES = frozenset({408, 429, 503})
-"""Callers take these as a promise; an endpoint's own hold only with its header."""
+"""Callers rely on these meaning that the request was not run.
+
+An endpoint's answer with one of them is only trusted with ``X-Not-Executed``.
+"""
 FIRST_SUCCESS = 200
 FIRST_REDIRECT = 300
 
@@ -68,7 +71,7 @@
 
 
 def _decode_prompt(text: str) -> tuple[PromptPart, ...]:
-    """Return the parts; a header that is not understood shares nothing."""
+    """Return the prompt's parts; a malformed header yields none."""
     parts = []
     for item in text.split(","):
         part_id, _, tokens = item.strip().partition(":")
@@ -79,7 +82,7 @@
 
 
 def _decode_amount(text: str) -> float | None:
-    """Return a decimal number that is not negative, None for anything else."""
+    """Return a finite, non-negative decimal number, or None for anything else."""
     try:
         amount = float(text)
     except ValueError:
@@ -92,7 +95,7 @@
 
 
 def _decode_pause(headers: CIMultiDictProxy[str]) -> float | None:
-    """Return the pause in seconds; a date counts from the answer's own."""
+    """Return the pause in seconds; a date is relative to the answer's Date header."""
     amount = _decode_amount(headers[HEADER_RETRY_AFTER])
     if amount is None:
         amount = _decode_date_pause(headers)
@@ -101,19 +104,19 @@
 
 def _decode_date_pause(headers: CIMultiDictProxy[str]) -> float | None:
     try:
-        until = parsedate_to_datetime(headers[HEADER_RETRY_AFTER])
-        answered = parsedate_to_datetime(headers[HEADER_DATE])
-        return max(0.0, (until - answered).total_seconds())
+        retry_at = parsedate_to_datetime(headers[HEADER_RETRY_AFTER])
+        answered_at = parsedate_to_datetime(headers[HEADER_DATE])
+        return max(0.0, (retry_at - answered_at).total_seconds())
     except (LookupError, ValueError, TypeError):
-        # The caller names the header, and logs it.
+        # The caller of decode_signals logs the header as unreadable.
         return None
 
 
 class PlatformDialect(Dialect):
-    """The headers of the prepared machines."""
+    """Reads and writes the headers of the prepared machines' protocols."""
 
     def decode_request(self, headers: CIMultiDictProxy[str]) -> RequestMeta | None:
-        """Return what a request says of itself, or None without an id."""
+        """Return a request's metadata, or None if it has no id."""
         request_id = headers.get(HEADER_REQUEST_ID)
         if not request_id:
             return None
@@ -134,12 +137,12 @@
         )
 
     def remove_reserved(self, headers: CIMultiDict[str]) -> None:
-        """Drop what only this system may ask of an endpoint, however often sent."""
+        """Remove all occurrences of headers that only a daemon may send."""
         for name in RESERVED_HEADERS:
             headers.popall(name, None)
 
     def encode_dispatch(self, headers: CIMultiDict[str], dispatch: Dispatch) -> None:
-        """Put what the relay adds into the headers for an endpoint."""
+        """Set the headers that the relay adds for an endpoint."""
         headers[HEADER_EXPECT_INSTANCE] = dispatch.endpoint
         headers[HEADER_DEADLINE_MS] = str(max(1, int(dispatch.deadline_s * 1000)))
         if dispatch.urgency is not None:
@@ -152,7 +155,7 @@
     def classify(
         self, status: int, headers: CIMultiDictProxy[str], request: RequestId
     ) -> AnswerKind:
-        """Return what an answer means, from its status line and headers."""
+        """Classify an answer by its status and headers."""
         echoed = headers.get(HEADER_REQUEST_ID)
         if echoed is not None and echoed != request:
             return AnswerKind.FOREIGN
@@ -170,18 +173,18 @@
     def decode_signals(
         self, status: int, headers: CIMultiDictProxy[str]
     ) -> EndpointSignals:
-        """Return what an endpoint's answer says of the endpoint."""
+        """Return what an answer signals about its endpoint's load and state."""
         decoders = {HEADER_LIMIT: _decode_limit}
         if status == HTTP_UNAVAILABLE:
             decoders[HEADER_RETRY_AFTER] = _decode_pause
-        amounts = {
+        values = {
             name: decode(headers)
             for name, decode in decoders.items()
             if name in headers
         }
         return EndpointSignals(
-            limit_per_s=amounts.get(HEADER_LIMIT),
+            limit_per_s=values.get(HEADER_LIMIT),
             is_leaving=headers.get(HEADER_LEAVING, "").strip() == LEAVING,
-            pause_s=amounts.get(HEADER_RETRY_AFTER),
-            unreadable=tuple(name for name, value in amounts.items() if value is None),
+            pause_s=values.get(HEADER_RETRY_AFTER),
+            unreadable=tuple(name for name, value in values.items() if value is None),
         )
--- a/chutelink/platform/http.py
+++ b/chutelink/platform/http.py
@@ -1,4 +1,4 @@
-"""The calls by which callers and the machines' owners ask about the system."""
+"""HTTP handlers for address lookups by callers and readiness checks by operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_directory_handler(directory: Directory) -> Handler:
-    """Return the handler that tells callers where to connect."""
+    """Return the handler that answers callers with addresses to connect to."""
 
     async def async_handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != PATH_RESOLVE:
@@ -32,7 +32,7 @@
 
 
 def make_ready_handler(is_ready: Callable[[], bool]) -> Handler:
-    """Return the handler that says whether this daemon serves callers."""
+    """Return the handler that reports whether this daemon serves callers."""
 
     async def async_handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != PATH_READY:
--- a/chutelink/platform/store.py
+++ b/chutelink/platform/store.py
@@ -1,4 +1,4 @@
-"""The metadata store of the prepared machines, as a watched table service."""
+"""Client of the prepared machines' metadata store, as a watched table service."""
 
 from __future__ import annotations
 
@@ -29,19 +29,20 @@
 HTTP_PRECONDITION_FAILED = 412
 STATUSES = frozenset({HTTP_OK, HTTP_GONE, HTTP_PRECONDITION_FAILED})
 WIRE_TABLES = {TABLE_CONFIG: "op", TABLE_ENDPOINTS: "servers"}
-"""Tables that others write; their rows carry no write id of ours.
+"""Tables with external writers, whose rows carry no write id.
 
-``op`` has the operators' configuration, ``servers`` what endpoints register.
+``op`` holds the operators' configuration, ``servers`` the endpoint registrations.
 """
 PRODUCT_TABLES = {wire: name for name, wire in WIRE_TABLES.items()}
 LAST_SUFFIX = "\U0010ffff"
-"""Sorts behind every suffix of a key."""
+"""Sorts after every suffix of a key, as the upper end of a prefix range."""
 
 
 class _WireRow(msgspec.Struct):
-    """A row as the store spells it.
+    """A row in the store's wire format.
 
-    ``ver`` comes from one counter over all tables; ``tombstone`` marks a removal.
+    ``ver`` is from a single counter shared by all tables; ``tombstone`` marks a
+    deleted row.
     """
 
     table: str
@@ -53,9 +54,9 @@
 
 
 class _WirePage(msgspec.Struct):
-    """Answer to a read; ``ver`` is the newest version that it covers.
+    """Response to a read; ``ver`` is the newest version that it covers.
 
-    ``now_ms`` is a steady clock of the store, not the time of day.
+    ``now_ms`` is a monotonic clock of the store, not wall-clock time.
     """
 
     rows: list[_WireRow] = []
@@ -65,14 +66,14 @@
 
 
 class _OwnValue(msgspec.Struct):
-    """What a row of ours holds: the value, and the write that put it there."""
+    """Content of rows written by this system: the value and its write id."""
 
     write_id: str
     value: Any
 
 
 def _decode_era(answer: Answer) -> StoreEra:
-    """Return the era of an answer; one that is no number is a ValueError."""
+    """Return the store era of an answer; raise ValueError if it is not a number."""
     return StoreEra(int(answer.headers.get(HEADER_ERA, NO_ERA)))
 
 
@@ -82,10 +83,10 @@
 
 
 def _decode_row(row: _WireRow) -> Row:
-    """Return the product's row; one that can't be read stands there as unreadable.
+    """Decode a row; a value that can't be decoded becomes ``UNREADABLE``.
 
-    A row of another writer may hold anything. Were it an error, each read of its table
-    would fail at every daemon, and no other row could be read as long as it is there.
+    External writers may store anything. If this raised an error, a single bad row would
+    make every read of its table fail at all daemons for as long as it exists.
     """
     table = PRODUCT_TABLES.get(row.table, row.table)
     key = f"{table}/{row.key}"
@@ -97,19 +98,19 @@
             return Row(key, row.ver, WriteId(""), msgspec.json.decode(data))
         own = msgspec.json.decode(data, type=_OwnValue)
     except (msgspec.MsgspecError, binascii.Error, ValueError):
-        # Whoever takes the row in logs that it is refused.
+        # Consumers of the row log that they reject it.
         return Row(key, row.ver, WriteId(""), UNREADABLE)
     return Row(key, row.ver, WriteId(own.write_id), own.value)
 
 
 class StoreTable(WatchedTable):
-    """Rows ``TABLE/KEY`` in the store's tables, all in the empty partition."""
+    """Rows ``TABLE/KEY`` of the store's tables, all in the empty partition."""
 
     def __init__(self, caller: HttpCaller) -> None:
         self._caller = caller
 
     async def async_read(self, prefix: str, after_version: int = 0) -> RowPage:
-        """Return the rows of a prefix; a watch returns changes alone."""
+        """Return the rows of a prefix that changed after a version, over all pages."""
         table, name = _split_key(prefix)
         params = {"table": table, "part": ""}
         if name:
@@ -121,12 +122,14 @@
                 "GET", "/api/rows-get", step="table.read", params=params, is_read=True
             )
             page, wire = self._decode_page(answer, "table.read")
-            # Each page is of a moment of its own; what changed between them in the
-            # rows of the first is among the changes after the first's version.
+            # Pages are snapshots of different moments. Rows of the first page that
+            # change later are reported by a watch from the first page's version.
             first = first or page
             if page.era != first.era:
                 raise PlatformUnavailable(
-                    "restored between pages", step="table.read", peer=self._caller.peer
+                    "store was restored between two pages",
+                    step="table.read",
+                    peer=self._caller.peer,
                 )
             rows += wire.rows
             if not wire.truncated or not wire.rows:
@@ -139,7 +142,7 @@
     async def async_watch(
         self, prefix: str, after_version: int, wait_s: float
     ) -> RowPage:
-        """Return the changes of a whole table after a version."""
+        """Return the changes to a whole table after a version."""
         table, _ = _split_key(prefix)
         params = {
             "table": table,
@@ -157,7 +160,9 @@
         )
         if answer.status == HTTP_GONE:
             raise HistoryLost(
-                "changes no longer kept", step="table.watch", peer=self._caller.peer
+                "store no longer keeps the changes",
+                step="table.watch",
+                peer=self._caller.peer,
             )
         page, wire = self._decode_page(answer, "table.watch")
         rows = [_decode_row(row) for row in wire.rows]
@@ -185,7 +190,7 @@
             ) from error
 
     def _decode_page(self, answer: Answer, step: str) -> tuple[RowPage, _WirePage]:
-        """Return what an answer says of itself, and its rows as they were spelled."""
+        """Return the page's metadata without rows, and the page in wire format."""
         if answer.status != HTTP_OK:
             message = f"status {answer.status}"
             raise PlatformUnavailable(message, step=step, peer=self._caller.peer)
@@ -200,10 +205,10 @@
 
 
 def _encode_transaction(transaction: Transaction) -> dict[str, Any]:
-    """Return the store's form of a transaction.
+    """Return a transaction in the store's wire format.
 
-    ``expected_rev`` holds the conditions on rows here; in an order to an
-    endpoint the same name is a number of orders.
+    ``expected_rev`` holds the conditions on rows. In an order to an endpoint, the
+    same key is the expected number of accepted orders.
     """
     checks = [
         {"table": table, "part": "", "key": key, "ver": check.version}
@@ -236,5 +241,5 @@
     settings: PlatformSection,
     on_retry: Callable[[ReadRetry], None] | None = None,
 ) -> StoreTable:
-    """Return the store behind a time limit, a breaker and a budget of calls."""
+    """Return the store client with a timeout, a circuit breaker and a rate limit."""
     return StoreTable(HttpCaller(session, settings, "store", STATUSES, on_retry))
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, decoded or refused whole."""
+"""Decoding of the operators' configuration, which is accepted or rejected whole."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     return decode_config(make_config(7, SERVICES) | changes)
 
 
-def test_units_and_names_are_the_products():
+def test_units_and_names_are_converted():
     config = decode()
     route = next(r for r in config.routes if r.name == "r-stream")
     assert (route.timeout_s, route.objective_s) == (4.0, 0.8)
     assert route.kind is RouteKind.STREAMING and route.is_repeatable
     engine = config.services["s-llm"].engine
     assert engine.models["m0"].adapters == ("a1", "a2", "a3")
-    # Without times of their own, copies are as slow as the weight store.
+    # Local copies without a load time of their own default to the weight store's.
     assert engine.models["m0"].memory_load_s == 0.1
 
 
-def test_routes_may_be_split_by_weight():
+def test_route_with_weighted_backends():
     split = {
         "name": "r",
         "host": "h",
@@ -43,7 +43,7 @@
     assert weights == [90, 10]
 
 
-def test_the_longest_prefix_wins():
+def test_longest_prefix_wins():
     base = {"host": "h", "kind": "idempotent", "timeout_ms": 1000, "service": "s-llm"}
     routes = [
         base | {"name": "short", "prefix": "/a/"},
@@ -65,17 +65,17 @@
         {"routes": [{"name": "r"}]},
     ],
 )
-def test_what_is_malformed_is_refused_whole(changes):
+def test_malformed_configuration_is_rejected(changes):
     with pytest.raises(ConfigInvalid):
         decode(**changes)
 
 
-def test_unknown_kinds_are_refused():
+def test_unknown_route_kind_is_rejected():
     config = make_config(7, SERVICES)
     config["routes"][0]["kind"] = "sometimes"
     with pytest.raises(ConfigInvalid):
         decode_config(config)
 
 
-def test_unknown_fields_are_ignored():
+def test_unknown_field_is_ignored():
     assert decode(something="new").version == 7
--- a/tests/platform/test_customers.py
+++ b/tests/platform/test_customers.py
@@ -1,4 +1,4 @@
-"""Customers of the operators' configuration; their keys never leave this edge."""
+"""Decoding of customers, and the removal of their plaintext keys."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return decode_config(config).customers
 
 
-def test_a_customer_is_decoded_once():
+def test_customer_is_decoded():
     customer = decode(ACME)["acme"]
     assert customer.key_hashes == (hash_key("key-of-acme"), hash_key("second-key"))
     assert customer.priority == 1
@@ -40,16 +40,16 @@
     assert (quota.burst, quota.plain_tokens) == (500, 200)
 
 
-def test_without_customers_no_keys_are_needed():
+def test_no_keys_are_required_without_customers():
     assert decode_config(make_config(7, SERVICES)).customers is None
 
 
-def test_a_rate_of_0_is_no_limit():
+def test_rate_of_0_means_no_quota():
     assert decode(ACME | {"rate_per_s": 0})["acme"].quota is None
     assert decode({"name": "acme", "keys": ["k"]})["acme"].quota is None
 
 
-def test_what_daemons_keep_and_tell_has_no_key():
+def test_compact_row_contains_no_plaintext_key():
     config = make_config(7, SERVICES) | {"tenants": [ACME]}
     kept = PreparedMachines().compact_row(KEY_ROUTING_CONFIG, config)
     assert "key-of-acme" not in json.dumps(kept)
@@ -72,14 +72,14 @@
         {"priority": "high"},
     ],
 )
-def test_what_is_malformed_is_refused_whole(changes):
+def test_malformed_customer_is_rejected(changes):
     with pytest.raises(ConfigInvalid) as caught:
         decode(ACME | changes)
     assert "secret" not in str(caught.value)
 
 
 @pytest.mark.parametrize("customers", [None, "none", {"acme": []}, 7])
-def test_customers_that_are_no_list_are_refused_and_not_kept(customers):
+def test_customers_not_in_a_list_are_rejected_and_dropped(customers):
     config = make_config(7, SERVICES) | {"tenants": customers}
     with pytest.raises(ConfigInvalid):
         decode_config(config)
@@ -87,12 +87,12 @@
     assert kept["tenants"] is None
 
 
-def test_a_key_that_two_hold_is_refused():
+def test_key_shared_by_two_customers_is_rejected():
     with pytest.raises(ConfigInvalid, match="acme"):
         decode(ACME, {"name": "other", "keys": ["key-of-acme"]})
     with pytest.raises(ConfigInvalid):
         decode(ACME, ACME)
 
 
-def test_a_key_may_stand_twice_with_its_holder():
+def test_customer_may_list_a_key_twice():
     assert decode(ACME | {"keys": ["k", "k"]})["acme"].key_hashes
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -1,4 +1,4 @@
-"""What endpoints register and report, and the orders that they take."""
+"""Wire formats of endpoint registrations, reports and orders."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 }
 
 
-def test_a_registration_becomes_a_record():
+def test_registration_is_decoded():
     record = decode_registration("i-1", ROW)
     assert record.state is EndpointState.DRAINING
     assert record.models == {"m": frozenset({"a1"})}
 
 
-def test_signs_of_life_are_no_change():
+def test_heartbeat_fields_are_not_a_change():
     later = ROW | {"seq": 45, "cold_left_ms": 3}
     assert compact_registration(ROW) == compact_registration(later)
     assert compact_registration(ROW) != compact_registration(ROW | {"state": "ready"})
@@ -43,12 +43,12 @@
 
 
 @pytest.mark.parametrize("value", [None, 3, {"address": "x"}, {"service": 1}])
-def test_what_is_no_registration_is_refused(value):
+def test_invalid_registration_is_rejected(value):
     with pytest.raises(EndpointFailed):
         decode_registration("i-1", value)
 
 
-def test_a_report_counts_adapters_on_their_way():
+def test_report_lists_adapters_being_loaded():
     body = {"models": [], "busy": True, "seq": 3, "coming": ["m/a2@1"]}
     report = decode_report("i-1", json.dumps(body).encode())
     assert report.is_busy and report.sequence == 3
@@ -56,12 +56,12 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b'{"seq": "x"}', b"\xff"])
-def test_what_is_no_report_is_refused(body):
+def test_invalid_report_is_rejected(body):
     with pytest.raises(EndpointFailed):
         decode_report("i-1", body)
 
 
-def test_an_order_names_how_many_were_accepted_before():
+def test_order_contains_the_expected_sequence():
     order = Order(OrderAction.UNLOAD, "m", "a1", 7, "vm-1", 3)
     assert json.loads(encode_order(order)) == {
         "op": "unload",
--- a/tests/platform/test_foreign_values.py
+++ b/tests/platform/test_foreign_values.py
@@ -1,6 +1,6 @@
-"""Values of other writers in the operators' tables raise the typed errors only.
+"""Arbitrary values in the operators' tables raise only the typed errors.
 
-Whatever else they raised would end each daemon that reads them, at each start.
+Any other exception would crash every daemon that reads the value, at every start.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
 )
 
 
-def paths_of(value, path=()):
-    """Return the way to each part of a value."""
+def iter_paths(value, path=()):
+    """Yield the path to each part of a nested value."""
     yield path
     items = value.items() if isinstance(value, dict) else ()
     if isinstance(value, list):
         items = enumerate(value)
     for key, inner in items:
-        yield from paths_of(inner, (*path, key))
+        yield from iter_paths(inner, (*path, key))
 
 
-def replaced(value, path, new):
-    """Return a copy with one part replaced."""
+def replace_at(value, path, new):
+    """Return a copy with the part at a path replaced."""
     if not path:
         return new
     changed = copy.deepcopy(value)
@@ -54,28 +54,28 @@
 
 
 @settings(max_examples=400)
-@given(st.sampled_from(list(paths_of(CONFIG))), VALUES)
-def test_a_configuration_with_a_foreign_part_is_taken_or_refused(path, value):
+@given(st.sampled_from(list(iter_paths(CONFIG))), VALUES)
+def test_configuration_with_an_arbitrary_part_is_accepted_or_rejected(path, value):
     try:
-        config = decode_config(replaced(CONFIG, path, value))
+        config = decode_config(replace_at(CONFIG, path, value))
     except ConfigInvalid:
         return
     RouteTable(config).find("a.example", "/once/x")
 
 
 @settings(max_examples=400)
-@given(st.sampled_from(list(paths_of(ROW))), VALUES)
-def test_a_registration_with_a_foreign_part_is_taken_or_refused(path, value):
-    foreign = replaced(ROW, path, value)
+@given(st.sampled_from(list(iter_paths(ROW))), VALUES)
+def test_registration_with_an_arbitrary_part_is_accepted_or_rejected(path, value):
+    changed = replace_at(ROW, path, value)
     try:
-        record = decode_registration("i-1", compact_registration(foreign))
+        record = decode_registration("i-1", compact_registration(changed))
     except EndpointFailed:
         return
     assert record.slots >= 1 and record.address.count(":") == 1
 
 
 @given(VALUES)
-def test_a_hold_is_one_or_is_refused(value):
+def test_arbitrary_hold_is_accepted_or_rejected(value):
     try:
         msgspec.convert(value, Hold)
     except msgspec.ValidationError:
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""What callers' and endpoints' headers mean."""
+"""Decoding and encoding of the headers of callers and endpoints."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from chutelink.entry.dialect import AnswerKind, Dispatch
 from chutelink.platform.headers import PlatformDialect
 
-DIALECT = PlatformDialect()
+CODEC = PlatformDialect()
 
 
 def headers(**values: str) -> CIMultiDictProxy[str]:
@@ -16,8 +16,8 @@
     return CIMultiDictProxy(CIMultiDict(pairs))
 
 
-def test_a_request_is_decoded_once():
-    meta = DIALECT.decode_request(
+def test_request_is_decoded():
+    meta = CODEC.decode_request(
         headers(
             X_Request_Id="q1",
             X_Deadline_Ms="1500",
@@ -37,13 +37,13 @@
     assert [(p.id, p.tokens) for p in meta.prompt] == [("5c", 800), ("91", 410)]
 
 
-def test_a_request_without_an_id_is_none():
-    assert DIALECT.decode_request(headers(X_Model="m")) is None
+def test_request_without_an_id_is_none():
+    assert CODEC.decode_request(headers(X_Model="m")) is None
 
 
 @pytest.mark.parametrize("prefix", ["", "5c", "5c:", "5c:x,91:4", ",,"])
-def test_prompts_that_are_not_understood_share_nothing(prefix):
-    meta = DIALECT.decode_request(headers(X_Request_Id="q", X_Prompt_Prefix=prefix))
+def test_malformed_prompt_prefix_yields_no_parts(prefix):
+    meta = CODEC.decode_request(headers(X_Request_Id="q", X_Prompt_Prefix=prefix))
     assert meta.prompt == ()
 
 
@@ -68,20 +68,21 @@
         (421, {"X_Instance_Id": "i"}, AnswerKind.NOT_RUN),
     ],
 )
-def test_only_what_is_surely_so_is_said(status, values, kind):
-    assert DIALECT.classify(status, headers(**values), "q") is kind
+def test_answer_is_classified_by_status_and_headers(status, values, kind):
+    """An answer is only trusted if its headers show that it is for this request."""
+    assert CODEC.classify(status, headers(**values), "q") is kind
 
 
-def test_a_dispatch_names_the_endpoint_and_the_time_left():
+def test_dispatch_sets_the_endpoint_and_remaining_time():
     sent = CIMultiDict({"X-Deadline-Ms": "5000", "X-Other": "kept"})
-    DIALECT.encode_dispatch(sent, Dispatch("i-1", 1.2345, 3, 7))
+    CODEC.encode_dispatch(sent, Dispatch("i-1", 1.2345, 3, 7))
     assert sent["X-Deadline-Ms"] == "1234"
     assert sent["X-Expect-Instance"] == "i-1"
     assert (sent["X-Request-Urgency"], sent["Last-Event-Id"]) == ("3", "7")
     assert sent["X-Other"] == "kept"
 
 
-def test_what_only_this_system_may_ask_of_endpoints_is_dropped():
+def test_reserved_headers_are_removed():
     sent = CIMultiDict(
         [
             ("X-Hold", "h1"),
@@ -97,30 +98,30 @@
             ("X-Other", "kept"),
         ]
     )
-    DIALECT.remove_reserved(sent)
+    CODEC.remove_reserved(sent)
     assert list(sent.items()) == [("X-Length-Hint", "40"), ("X-Other", "kept")]
 
 
 @pytest.mark.parametrize(
     ("value", "limit_per_s"), [("1", 1.0), ("0", 0.0), ("2.5", 2.5), (" 3 ", 3.0)]
 )
-def test_a_limit_is_a_decimal_number(value, limit_per_s):
-    signals = DIALECT.decode_signals(200, headers(Server_Limit=value))
+def test_limit_is_a_decimal_number(value, limit_per_s):
+    signals = CODEC.decode_signals(200, headers(Server_Limit=value))
     assert (signals.limit_per_s, signals.unreadable) == (limit_per_s, ())
 
 
 @pytest.mark.parametrize("value", ["", "many", "-1", "nan", "inf", "1;2"])
-def test_a_limit_that_is_no_number_is_ignored_and_named(value):
-    signals = DIALECT.decode_signals(200, headers(Server_Limit=value))
+def test_invalid_limit_is_ignored_and_reported(value):
+    signals = CODEC.decode_signals(200, headers(Server_Limit=value))
     assert (signals.limit_per_s, signals.unreadable) == (None, ("Server-Limit",))
 
 
 @pytest.mark.parametrize(
     ("value", "is_leaving"), [("1", True), (" 1 ", True), ("0", False), ("", False)]
 )
-def test_an_endpoint_leaves_when_its_answer_says_so(value, is_leaving):
+def test_leaving_header_marks_the_endpoint(value, is_leaving):
     assert (
-        DIALECT.decode_signals(200, headers(Server_Leaving=value)).is_leaving
+        CODEC.decode_signals(200, headers(Server_Leaving=value)).is_leaving
         is is_leaving
     )
 
@@ -129,28 +130,28 @@
     ("status", "value", "pause_s"),
     [(503, "3", 3.0), (503, "0.25", 0.25), (200, "3", None), (429, "3", None)],
 )
-def test_a_503_may_ask_for_a_pause(status, value, pause_s):
-    signals = DIALECT.decode_signals(status, headers(Retry_After=value))
+def test_pause_is_only_taken_from_a_503(status, value, pause_s):
+    signals = CODEC.decode_signals(status, headers(Retry_After=value))
     assert (signals.pause_s, signals.unreadable) == (pause_s, ())
 
 
 @pytest.mark.parametrize("value", ["", "Fri, 31 Dec 1999 23:59:59 GMT", "-1", "inf"])
-def test_a_pause_that_is_no_number_of_seconds_is_ignored_and_named(value):
-    signals = DIALECT.decode_signals(503, headers(Retry_After=value))
+def test_invalid_pause_is_ignored_and_reported(value):
+    signals = CODEC.decode_signals(503, headers(Retry_After=value))
     assert (signals.pause_s, signals.unreadable) == (None, ("Retry-After",))
 
 
 @pytest.mark.parametrize(
     ("until", "pause_s"), [("08:49:40", 3.0), ("08:49:30", 0.0), ("23:00:00", 300.0)]
 )
-def test_a_pause_until_a_date_counts_from_the_answers_own(until, pause_s):
-    """The clocks of endpoints and daemons differ."""
+def test_retry_after_date_is_relative_to_the_answers_date(until, pause_s):
+    """Otherwise clock skew between endpoint and daemon would change the pause."""
     values = {
         "Date": "Sun, 06 Nov 1994 08:49:37 GMT",
         "Retry_After": f"Sun, 06 Nov 1994 {until} GMT",
     }
-    assert DIALECT.decode_signals(503, headers(**values)).pause_s == pause_s
+    assert CODEC.decode_signals(503, headers(**values)).pause_s == pause_s
 
 
-def test_an_absurd_pause_is_bounded():
-    assert DIALECT.decode_signals(503, headers(Retry_After="1e9")).pause_s == 300.0
+def test_pause_is_capped():
+    assert CODEC.decode_signals(503, headers(Retry_After="1e9")).pause_s == 300.0
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store of the machines as a watched table, against the stand-in."""
+"""Client of the metadata store, against the stand-in store."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     return Transaction(write_id, (Check(KEY, version),), (Write(KEY, value),))
 
 
-def test_a_value_comes_back_with_its_write():
+def test_read_returns_the_value_and_write_id():
     async def async_test(store, table):
         version = (await table.async_transact(write({"a": 1}))).version
         row = (await table.async_read(KEY)).get(KEY)
@@ -68,7 +68,7 @@
     run(async_test)
 
 
-def test_a_condition_that_does_not_hold_changes_nothing():
+def test_failed_condition_changes_nothing():
     async def async_test(store, table):
         await table.async_transact(write(1))
         with pytest.raises(TransactionConflict):
@@ -78,7 +78,7 @@
     run(async_test)
 
 
-def test_a_lost_reply_is_settled():
+def test_lost_reply_is_resolved():
     async def async_test(store, table):
         store.faults = StoreFaults(lose_replies=1)
         version = await async_commit(table, [Check(KEY, 0)], [Write(KEY, 5)])
@@ -90,7 +90,7 @@
     run(async_test)
 
 
-def test_changes_and_removals_are_watched():
+def test_watch_reports_changes_and_removals():
     async def async_test(store, table):
         after = store.put("servers", "i-1", {"x": 1})
         page = await table.async_watch("endpoints/", 0, 0.0)
@@ -104,8 +104,8 @@
     run(async_test)
 
 
-def test_a_read_of_several_pages_is_of_the_first_ones_version():
-    """A change to a row that was read already must be among the changes after it."""
+def test_paged_read_has_the_version_of_its_first_page():
+    """A change to a row of an earlier page must be reported by the next watch."""
 
     async def async_test(store, table):
         for name in ("i-1", "i-2", "i-3"):
@@ -121,7 +121,7 @@
     run(async_test)
 
 
-def test_answers_bear_the_time_of_the_store():
+def test_pages_carry_the_store_time():
     async def async_test(store, table):
         store.put("servers", "i-1", {"x": 1})
         read = await table.async_read("endpoints/")
@@ -131,8 +131,8 @@
     run(async_test)
 
 
-def test_a_read_whose_store_is_restored_between_pages_fails():
-    """Its pages would be of two tables with versions that can't be compared."""
+def test_read_fails_if_the_store_is_restored_between_pages():
+    """The pages would come from two eras whose versions can't be compared."""
 
     async def async_test(store, table):
         for name in ("i-1", "i-2"):
@@ -145,7 +145,7 @@
     run(async_test)
 
 
-def test_answers_bear_the_era_of_the_store():
+def test_pages_and_commits_carry_the_store_era():
     async def async_test(store, table):
         copy = store.copy()
         first = await table.async_transact(write(1))
@@ -158,7 +158,7 @@
     run(async_test)
 
 
-def test_changes_after_a_version_that_the_store_no_longer_has_are_refused():
+def test_watch_after_a_version_lost_by_a_restore_is_rejected():
     async def async_test(store, table):
         copy = store.copy()
         after = store.put("servers", "i-1", {"x": 1})
@@ -169,7 +169,7 @@
     run(async_test)
 
 
-def test_history_that_is_gone_is_said_so():
+def test_watch_after_discarded_history_is_rejected():
     async def async_test(store, table):
         store.put("op", "config", {})
         store.put("op", "config", {})
@@ -180,7 +180,7 @@
     run(async_test)
 
 
-def test_an_outage_is_one():
+def test_outage_raises_platform_unavailable():
     async def async_test(store, table):
         store.faults = StoreFaults(is_out=True)
         with pytest.raises(PlatformUnavailable):
@@ -189,7 +189,7 @@
     run(async_test)
 
 
-def test_a_row_of_another_make_is_not_guessed_at():
+def test_row_with_an_unexpected_format_is_unreadable():
     async def async_test(store, table):
         store.put("own", "key", "not an own value")
         row = (await table.async_read(KEY)).get(KEY)
@@ -202,13 +202,13 @@
 
 
 UNREADABLE_VALUES = ["", "!!!", base64.b64encode(b"\xff{").decode(), "e30"]
-"""Empty, not base64, not JSON, and base64 that was cut."""
+"""Empty, not base64, not JSON, and truncated base64."""
 
 
 @pytest.mark.parametrize("text", UNREADABLE_VALUES)
 @pytest.mark.parametrize("prefix", ["endpoints/", "own/"])
-def test_a_row_that_can_not_be_read_hides_no_other(text, prefix):
-    """Every read of the table failed, at every daemon, as long as the row was there."""
+def test_unreadable_row_does_not_hide_other_rows(text, prefix):
+    """One such row used to make every read of its table fail, at all daemons."""
 
     async def async_test(store, table):
         sound = {"write_id": "w", "value": {"a": 1}}
