--- a/chutelink/cli/apply.py
+++ b/chutelink/cli/apply.py
@@ -1,4 +1,4 @@
-"""Apply a fleet file: one conditional write, resolved when its reply is lost."""
+"""Commit a fleet file in one transaction, and resolve it if the reply was lost."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from ..store import Check, Platform, Row, Write, async_commit, decode_value
 from ..store.transactions import ABANDONED_VALUE
 from .daemons import DaemonClient
-from .output import ExitCode, Result, failed
+from .output import ExitCode, Result, make_failure
 
 WAIT_POLL_S = 0.1
 
 
 class VersionRow(msgspec.Struct, frozen=True):
-    """The row of one committed version, kept for the history.
+    """History row of one committed version.
 
-    ``applied_at`` is the operator's wall clock, for people only.
+    ``applied_at`` is from the operator's wall clock and only displayed.
     """
 
     version: ConfigVersion
@@ -36,7 +36,7 @@
 
 
 def read_fleet(path: Path) -> tuple[FleetSpec | None, str, list[str]]:
-    """Return a checked fleet and its text, or the problems found."""
+    """Return the parsed fleet, the file's text and a list of problems."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -48,7 +48,7 @@
 
 
 def validate(path: Path) -> Result:
-    """Check a fleet file without the platform."""
+    """Check a fleet file without contacting the platform."""
     fleet, _, problems = read_fleet(path)
     if fleet is None:
         return Result(ExitCode.INVALID, problems, {"problems": problems})
@@ -61,7 +61,7 @@
 
 
 async def async_read_head(platform: Platform) -> tuple[ConfigHead | None, int]:
-    """Return the committed head and the version of its row."""
+    """Return the head of the committed configuration and its row version."""
     row = (await platform.table.async_read(KEY_CONFIG_HEAD)).get(KEY_CONFIG_HEAD)
     return decode_value(row, ConfigHead), row.version if row is not None else 0
 
@@ -69,7 +69,7 @@
 async def async_read_version(
     platform: Platform, version: ConfigVersion
 ) -> FleetSpec | None:
-    """Return the fleet of a committed version, or None."""
+    """Return the fleet of a committed version, or None if it is not found."""
     key = f"{PREFIX_VERSION}{version:08d}"
     row = decode_value((await platform.table.async_read(key)).get(key), VersionRow)
     body = await platform.objects.async_get(row.hash) if row is not None else None
@@ -85,9 +85,9 @@
     Parameters
     ----------
     platform : Platform
-        Where they are committed.
+        Platform that stores the committed versions.
     daemons : DaemonClient
-        Asked which version is in force, with ``--wait``.
+        Queries daemons for their version in force, for ``--wait``.
     """
 
     def __init__(self, platform: Platform, daemons: DaemonClient) -> None:
@@ -97,16 +97,16 @@
     async def async_apply(
         self, path: Path, base: ConfigVersion, apply_id: ApplyId | None
     ) -> Result:
-        """Commit a file that was based on a version."""
+        """Commit a fleet file, if the version that it is based on is still current."""
         fleet, text, problems = read_fleet(path)
         if fleet is None:
             return Result(ExitCode.INVALID, problems, {"problems": problems})
         head, head_row_version = await async_read_head(self._platform)
         current = head.version if head is not None else NO_VERSION
         if current != base:
-            return await self._async_conflict(fleet, base, current)
+            return await self._async_make_conflict(fleet, base, current)
         name = hash_fleet(text)
-        # The body first: a head never points to what is not there.
+        # Write the body first, so that a head never refers to a missing object.
         await self._platform.objects.async_put(name, text.encode())
         apply_id = apply_id or ApplyId(make_id())
         version = ConfigVersion(base + 1)
@@ -117,10 +117,10 @@
         try:
             await self._async_commit(new_head, row, head_row_version)
         except TransactionConflict:
-            return await self._async_after_conflict(fleet, base, apply_id)
+            return await self._async_resolve_conflict(fleet, base, apply_id)
         except WriteOutcomeUnknown:
-            return self._unknown(apply_id)
-        return self._accepted(version, apply_id)
+            return self._make_unknown(apply_id)
+        return self._make_accepted(version, apply_id)
 
     async def _async_commit(
         self, head: ConfigHead, row: VersionRow, head_row_version: int
@@ -141,45 +141,45 @@
             ],
         )
 
-    async def _async_after_conflict(
+    async def _async_resolve_conflict(
         self, fleet: FleetSpec, base: ConfigVersion, apply_id: ApplyId
     ) -> Result:
         head, _ = await async_read_head(self._platform)
         current = head.version if head is not None else NO_VERSION
         if current != base:
-            return await self._async_conflict(fleet, base, current)
-        return failed(
+            return await self._async_make_conflict(fleet, base, current)
+        return make_failure(
             ExitCode.FAILED,
             f"not accepted: apply {apply_id} was given up when its reply was lost",
             "apply again",
         )
 
-    async def _async_conflict(
+    async def _async_make_conflict(
         self, fleet: FleetSpec, base: ConfigVersion, current: ConfigVersion
     ) -> Result:
-        """Refuse, and show what the other operator has changed meanwhile."""
+        """Return the conflict, with the changes of both operators since the base."""
         theirs = await async_read_version(self._platform, current)
         before = await async_read_version(self._platform, base)
         changes = diff_fleets(before, theirs) if theirs is not None else []
-        mine = diff_fleets(before, fleet)
+        own_changes = diff_fleets(before, fleet)
         lines = [f"conflict: based on version {base}, but {current} is in force"]
         lines += [f"  theirs: {change}" for change in changes]
-        lines += [f"  yours:  {change}" for change in mine]
+        lines += [f"  yours:  {change}" for change in own_changes]
         lines.append(f"merge the changes, then apply with --base {current}")
         data = {
             "error": "conflict",
             "base": base,
             "current": current,
             "theirs": [str(change) for change in changes],
-            "yours": [str(change) for change in mine],
+            "yours": [str(change) for change in own_changes],
         }
         return Result(ExitCode.CONFLICT, lines, data)
 
     async def async_resume(self, apply_id: ApplyId) -> Result:
-        """Find out what became of an apply whose reply was lost.
+        """Determine the outcome of an apply whose reply was lost.
 
-        One that is not there is fenced off first, so that "not accepted" stays
-        true even if the write is still on its way.
+        If the apply has no row, one that marks it as abandoned is written first: the
+        result "not accepted" then holds even if the apply's write is still in flight.
         """
         key = PREFIX_APPLY + apply_id
         row = (await self._platform.table.async_read(key)).get(key)
@@ -191,32 +191,32 @@
             except TransactionConflict:
                 row = (await self._platform.table.async_read(key)).get(key)
             except WriteOutcomeUnknown:
-                return self._unknown(apply_id)
-        return self._resumed(row, apply_id)
+                return self._make_unknown(apply_id)
+        return self._make_resumed(row, apply_id)
 
-    def _resumed(self, row: Row | None, apply_id: ApplyId) -> Result:
+    def _make_resumed(self, row: Row | None, apply_id: ApplyId) -> Result:
         head = decode_value(row, ConfigHead)
         if head is not None:
-            return self._accepted(head.version, apply_id)
+            return self._make_accepted(head.version, apply_id)
         message = f"not accepted: apply {apply_id} took no effect and never will"
-        return failed(ExitCode.FAILED, message, "apply again")
+        return make_failure(ExitCode.FAILED, message, "apply again")
 
-    def _accepted(self, version: ConfigVersion, apply_id: ApplyId) -> Result:
+    def _make_accepted(self, version: ConfigVersion, apply_id: ApplyId) -> Result:
         line = f"accepted as version {version} (apply {apply_id})"
         return Result(ExitCode.OK, [line], {"version": version, "apply_id": apply_id})
 
-    def _unknown(self, apply_id: ApplyId) -> Result:
-        return failed(
+    def _make_unknown(self, apply_id: ApplyId) -> Result:
+        return make_failure(
             ExitCode.UNKNOWN,
             f"unknown: the reply to apply {apply_id} was lost",
             f"run: chutelink apply --resume {apply_id}",
         )
 
     async def async_wait(self, version: ConfigVersion, timeout_s: float) -> Result:
-        """Wait until every live daemon has a version in force."""
+        """Wait until every live daemon has a version in force, up to a timeout."""
         started_s = time.monotonic()
         while True:
-            behind = await self._async_behind(version)
+            behind = await self._async_find_behind(version)
             elapsed_s = time.monotonic() - started_s
             if not behind:
                 line = f"version {version} in force everywhere after {elapsed_s:.2f} s"
@@ -229,7 +229,7 @@
                 return Result(ExitCode.NOT_IN_FORCE, lines, data)
             await asyncio.sleep(WAIT_POLL_S)
 
-    async def _async_behind(self, version: ConfigVersion) -> dict[str, str]:
+    async def _async_find_behind(self, version: ConfigVersion) -> dict[str, str]:
         survey = await self._daemons.async_survey()
         behind = {name: "does not answer" for name in survey.silent}
         for status in survey.statuses:
--- a/chutelink/cli/customers.py
+++ b/chutelink/cli/customers.py
@@ -1,4 +1,4 @@
-"""Show what customers may use, have used and were refused, by daemon and in sum."""
+"""Show quotas, usage and rejections of customers, by daemon and in total."""
 
 from __future__ import annotations
 
@@ -11,43 +11,45 @@
 from ..customers.web import PATH_CUSTOMERS, CustomerState, CustomerStates
 from ..exceptions import PlatformUnavailable
 from ..settings import PlatformSection
-from .output import ExitCode, Result, columns, failed
+from .output import ExitCode, Result, format_table, make_failure
 
 TIMEOUT_S = 5.0
 HTTP_UNAUTHORIZED = 401
-SUM = "all"
+TOTAL_LABEL = "all"
 
 
 async def async_customers(
     session: aiohttp.ClientSession, settings: PlatformSection, daemons: list[str]
 ) -> Result:
-    """Ask some daemons and sum up.
+    """Query daemons for their customers and sum up the results.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Opens the connections.
+        HTTP session for the requests.
     settings : PlatformSection
-        Holds the operators' key.
+        Platform settings with the operators' key.
     daemons : list of str
-        The daemons' operators' addresses, HOST:PORT.
+        Addresses of the daemons' operator interfaces, HOST:PORT.
 
     Raises
     ------
     PlatformUnavailable
         A daemon did not answer.
     """
-    asked = [_async_ask(session, settings, daemon) for daemon in daemons]
-    found = [states for states in await asyncio.gather(*asked) if states is not None]
+    requests = [_async_query(session, settings, daemon) for daemon in daemons]
+    found = [states for states in await asyncio.gather(*requests) if states is not None]
     if len(found) < len(daemons):
-        return failed(ExitCode.INVALID, "a daemon refuses the key", "see [platform]")
-    return _show(found)
+        return make_failure(
+            ExitCode.INVALID, "a daemon refuses the key", "see [platform]"
+        )
+    return _format_states(found)
 
 
-async def _async_ask(
+async def _async_query(
     session: aiohttp.ClientSession, settings: PlatformSection, daemon: str
 ) -> CustomerStates | None:
-    """Return a daemon's answer, None where it refuses the key."""
+    """Return a daemon's customers, or None if it rejects the key."""
     try:
         async with session.get(
             f"http://{daemon}{PATH_CUSTOMERS}",
@@ -62,7 +64,7 @@
         raise PlatformUnavailable(str(error), step=step, peer=daemon) from error
 
 
-def _show(found: list[CustomerStates]) -> Result:
+def _format_states(found: list[CustomerStates]) -> Result:
     rows = [("CUSTOMER", "DAEMON", "QUOTA/S", "SHARE", "LEVEL", "USED", "REFUSED")]
     by_name: dict[str, list[tuple[str, CustomerState]]] = {}
     for states in found:
@@ -70,8 +72,8 @@
             by_name.setdefault(state.name, []).append((states.daemon, state))
     for name, states in sorted(by_name.items()):
         rows += [_row(name, daemon, state, state.use) for daemon, state in states]
-        rows.append(_sum_row(name, [state for _, state in states]))
-    lines = columns(rows) if by_name else ["no customer has a quota"]
+        rows.append(_total_row(name, [state for _, state in states]))
+    lines = format_table(rows) if by_name else ["no customer has a quota"]
     return Result(ExitCode.OK, lines, {"daemons": msgspec.to_builtins(found)})
 
 
@@ -89,7 +91,7 @@
     )
 
 
-def _sum_row(name: str, states: list[CustomerState]) -> tuple[str, ...]:
+def _total_row(name: str, states: list[CustomerState]) -> tuple[str, ...]:
     use = CustomerUse(
         sum(state.use.admitted for state in states),
         sum(state.use.admitted_amount for state in states),
@@ -101,4 +103,4 @@
         share=sum(state.share for state in states),
         level=sum(state.level for state in states),
     )
-    return _row(name, SUM, total, use)
+    return _row(name, TOTAL_LABEL, total, use)
--- a/chutelink/cli/daemons.py
+++ b/chutelink/cli/daemons.py
@@ -1,4 +1,4 @@
-"""Ask all daemons what they say of themselves."""
+"""Query the status of all daemons."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 
 class Survey(msgspec.Struct, frozen=True):
-    """Answers of the daemons, and those that should answer but don't."""
+    """Statuses of the daemons that answered, and names of those that did not.
+
+    ``silent`` daemons should have answered; ``gone`` ones are known to others as down
+    or left.
+    """
 
     statuses: list[DaemonStatus]
     silent: list[str]
@@ -26,7 +30,7 @@
 
 
 class DaemonClient:
-    """Finds daemons by their rows and asks each for its status."""
+    """Finds daemons by their rows and queries each for its status."""
 
     def __init__(
         self,
@@ -40,21 +44,21 @@
         self._slots = asyncio.Semaphore(MAX_CONCURRENT)
 
     async def async_survey(self) -> Survey:
-        """Ask every daemon that has a row."""
+        """Query every daemon that has a row."""
         page = await self._platform.table.async_read(PREFIX_DAEMON)
         rows = [decode_value(row, DaemonRow) for row in page.rows]
         members = [row.member for row in rows if row is not None]
-        answers = await asyncio.gather(*(self._async_ask(m) for m in members))
+        answers = await asyncio.gather(*(self._async_query(m) for m in members))
         statuses = [answer for answer in answers if answer is not None]
-        believed = _believed_gone(statuses)
+        departed = _find_departed(statuses)
         missing = [m.id for m, a in zip(members, answers, strict=True) if a is None]
         return Survey(
             statuses=sorted(statuses, key=lambda status: status.daemon),
-            silent=sorted(name for name in missing if name not in believed),
-            gone=sorted(name for name in missing if name in believed),
+            silent=sorted(name for name in missing if name not in departed),
+            gone=sorted(name for name in missing if name in departed),
         )
 
-    async def _async_ask(self, member: Member) -> DaemonStatus | None:
+    async def _async_query(self, member: Member) -> DaemonStatus | None:
         timeout = aiohttp.ClientTimeout(total=STATUS_TIMEOUT_S)
         try:
             async with (
@@ -69,8 +73,8 @@
             return None
 
 
-def _believed_gone(statuses: list[DaemonStatus]) -> set[str]:
-    """Return the daemons that any other one knows to be down or gone."""
+def _find_departed(statuses: list[DaemonStatus]) -> set[str]:
+    """Return the daemons that any other daemon regards as down or left."""
     gone = (MemberState.DOWN, MemberState.LEFT)
     return {
         member.id
--- a/chutelink/cli/explain_request.py
+++ b/chutelink/cli/explain_request.py
@@ -1,4 +1,4 @@
-"""Walk collected logs from a request's id to what decided its fate."""
+"""Trace a request through collected logs to the events that affected it."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 import msgspec
 
-from .output import ExitCode, Result, failed
+from .output import ExitCode, Result, make_failure
 
-BEFORE_S = 5.0
-"""How long before a request's first line what bears on it may have begun.
+LOOKBACK_S = 5.0
+"""How long before a request's first line events are considered related.
 
-Cold loads take about 4 s; leases are followed within some 3 s.
+Cold loads take about 4 s; daemons learn of lease changes within about 3 s.
 """
-AFTER_S = 0.5
+LOOKAHEAD_S = 0.5
 MAX_LINES = 200
-"""Most lines shown; the request's own come first."""
-BELIEFS = frozenset(
+"""Maximum number of related lines shown after the request's own."""
+STATE_EVENTS = frozenset(
     {
         "config_in_force",
         "config_refused",
@@ -38,13 +38,15 @@
         "suspect_trial",
     }
 )
-"""Events that change what daemons believe of endpoints and models."""
-DEPENDENCIES = frozenset({"store_lost", "store_regained", "member_down", "draining"})
+"""Events that change a daemon's view of endpoints and models."""
+DEPENDENCY_EVENTS = frozenset(
+    {"store_lost", "store_regained", "member_down", "draining"}
+)
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One line of a log, as its pairs."""
+    """A log line with its parsed key=value pairs."""
 
     at: datetime
     text: str
@@ -52,12 +54,12 @@
 
     @property
     def event(self) -> str:
-        """The event's name."""
+        """Name of the event, or an empty string."""
         return self.fields.get("event", "")
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line's pairs; None for a line that is none of ours."""
+    """Parse a log line; return None if it is not in this project's format."""
     start = text.find("time=")
     if start < 0:
         return None
@@ -70,7 +72,7 @@
 
 
 def read_logs(paths: list[Path]) -> list[LogLine]:
-    """Return the lines of all files, in order of their time.
+    """Return the lines of all files, sorted by time.
 
     Raises
     ------
@@ -86,34 +88,34 @@
 
 
 def explain_request(request_id: str, paths: list[Path]) -> Result:
-    """Return the request's own lines, and what was believed around it."""
+    """Return the request's own lines and the related state events."""
     try:
         lines = read_logs(paths)
     except OSError as error:
-        return failed(ExitCode.INVALID, str(error), "check the files' names")
+        return make_failure(ExitCode.INVALID, str(error), "check the files' names")
     own = [line for line in lines if line.fields.get("request") == request_id]
     if not own:
         message = f"no line names request {request_id}"
         advice = "good requests are thinned: see good_left_out in the log"
-        return failed(ExitCode.FAILED, message, advice)
-    around = _bearing(lines, own)
+        return make_failure(ExitCode.FAILED, message, advice)
+    related = _find_related(lines, own)
     shown = ["its own lines:", *(line.text for line in own)]
     shown += ["what daemons believed of its model and endpoints:"]
-    shown += [line.text for line in around]
+    shown += [line.text for line in related]
     shown += ["", _summary(own)]
     data = {
         "request": request_id,
         "own": [line.fields for line in own],
-        "around": [line.fields for line in around],
+        "around": [line.fields for line in related],
     }
     return Result(ExitCode.OK, shown, data)
 
 
-def _bearing(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
-    """Return the lines on the request's model, its endpoints and dependencies."""
-    start = own[0].at - timedelta(seconds=BEFORE_S)
-    end = own[-1].at + timedelta(seconds=AFTER_S)
-    names = _names(own)
+def _find_related(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
+    """Return events on the request's model and endpoints, and on dependencies."""
+    start = own[0].at - timedelta(seconds=LOOKBACK_S)
+    end = own[-1].at + timedelta(seconds=LOOKAHEAD_S)
+    names = _collect_names(own)
     found = []
     for line in lines:
         if not start <= line.at <= end or "request" in line.fields:
@@ -124,13 +126,13 @@
             line.fields.get("fingerprint", ""),
             *line.fields.get("unload", "").split(","),
         }
-        is_belief = line.event in BELIEFS and (is_named or "lease" in line.event)
-        if is_belief or line.event in DEPENDENCIES:
+        is_state = line.event in STATE_EVENTS and (is_named or "lease" in line.event)
+        if is_state or line.event in DEPENDENCY_EVENTS:
             found.append(line)
     return found[:MAX_LINES]
 
 
-def _names(own: list[LogLine]) -> set[str]:
+def _collect_names(own: list[LogLine]) -> set[str]:
     names: set[str] = set()
     for line in own:
         names |= {line.fields.get("model", ""), line.fields.get("endpoint", "")}
@@ -140,7 +142,7 @@
 
 
 def _summary(own: list[LogLine]) -> str:
-    """Return what the last line says, in a sentence."""
+    """Summarize the request's final line in a sentence."""
     last = next((line for line in reversed(own) if line.event == "request"), None)
     if last is None:
         return "it has no final line: still under way, or its daemon was killed"
--- a/chutelink/cli/held.py
+++ b/chutelink/cli/held.py
@@ -1,4 +1,4 @@
-"""Look at the requests that a fleet keeps away, and free one."""
+"""List the requests that a fleet quarantines, and release one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..exceptions import PlatformUnavailable
 from ..quarantine.web import PATH_HELD, HeldRequest, HeldRequests
 from ..settings import PlatformSection
-from .output import ExitCode, Result, columns, failed
+from .output import ExitCode, Result, format_table, make_failure
 
 TIMEOUT_S = 5.0
 HTTP_OK = 200
@@ -23,18 +23,18 @@
     daemon: str,
     free: str | None,
 ) -> Result:
-    """Ask one daemon; each knows what all keep away.
+    """Query one daemon; each knows the quarantined requests of all daemons.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Opens the connection.
+        HTTP session for the request.
     settings : PlatformSection
-        Holds the operators' key.
+        Platform settings with the operators' key.
     daemon : str
-        The daemon's operators' address, HOST:PORT.
+        Address of the daemon's operator interface, HOST:PORT.
     free : str or None
-        A fingerprint to free.
+        Fingerprint to release; None lists all.
 
     Raises
     ------
@@ -54,15 +54,17 @@
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
         raise PlatformUnavailable(str(error), step="cli.held", peer=daemon) from error
     if status == HTTP_UNAUTHORIZED:
-        return failed(ExitCode.INVALID, "the daemon refuses the key", "see [platform]")
+        return make_failure(
+            ExitCode.INVALID, "the daemon refuses the key", "see [platform]"
+        )
     if status == HTTP_NOT_FOUND:
-        return failed(ExitCode.INVALID, f"nothing is held as {free}", "see: held")
+        return make_failure(ExitCode.INVALID, f"nothing is held as {free}", "see: held")
     if status == HTTP_DONE:
         return Result(ExitCode.OK, [f"{free} is free"], {"free": free})
-    return _show(msgspec.json.decode(body, type=HeldRequests).held)
+    return _format_held(msgspec.json.decode(body, type=HeldRequests).held)
 
 
-def _show(held: list[HeldRequest]) -> Result:
+def _format_held(held: list[HeldRequest]) -> Result:
     rows = [("FINGERPRINT", "LEFT", "TRIALS", "ENDED", "REQUEST")]
     rows += [
         (
@@ -74,5 +76,5 @@
         )
         for row in held
     ]
-    lines = columns(rows) if held else ["nothing is held"]
+    lines = format_table(rows) if held else ["nothing is held"]
     return Result(ExitCode.OK, lines, {"held": msgspec.to_builtins(held)})
--- a/chutelink/cli/inspect.py
+++ b/chutelink/cli/inspect.py
@@ -1,4 +1,4 @@
-"""Commands that look: status, history, plan and explain; and drain."""
+"""The commands status, history, plan, explain and drain."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 from ..tables.state import StateTable
 from .apply import VersionRow, async_read_head, async_read_version, read_fleet
 from .daemons import DaemonClient, Survey
-from .output import ExitCode, Result, columns, failed
+from .output import ExitCode, Result, format_table, make_failure
 
 LOADS_PER_S = 2.0
+"""Rate that a plan's duration is estimated with."""
 
 
 async def async_read_state(platform: Platform) -> StateTable:
-    """Return the ledger and health rows as they are now."""
+    """Read the current ledger and health rows."""
     state = StateTable()
     page = await platform.table.async_read(PREFIX_STATE)
     for row in page.rows:
@@ -40,7 +41,7 @@
 async def async_current_fleet(
     platform: Platform,
 ) -> tuple[FleetSpec | None, ConfigVersion]:
-    """Return the committed fleet and its version."""
+    """Read the committed fleet and its version."""
     head, _ = await async_read_head(platform)
     if head is None:
         return None, NO_VERSION
@@ -48,7 +49,7 @@
 
 
 async def async_history(platform: Platform) -> Result:
-    """List the committed versions, the newest first."""
+    """List the committed versions, newest first."""
     page = await platform.table.async_read(PREFIX_VERSION)
     rows = [decode_value(row, VersionRow) for row in page.rows]
     found = sorted((r for r in rows if r is not None), key=lambda r: -r.version)
@@ -58,19 +59,19 @@
         for r in found
     ]
     data = {"versions": [msgspec.to_builtins(row) for row in found]}
-    return Result(ExitCode.OK, columns(table), data)
+    return Result(ExitCode.OK, format_table(table), data)
 
 
 async def async_plan(platform: Platform, path: Path) -> Result:
-    """Show what a file would change and the moves that it costs."""
+    """Show the changes of a fleet file and the loads and unloads they require."""
     fleet, _, problems = read_fleet(path)
     if fleet is None:
         return Result(ExitCode.INVALID, problems, {"problems": problems})
     current, version = await async_current_fleet(platform)
     state = await async_read_state(platform)
     usable = state.usable() or frozenset(EndpointName(e.name) for e in fleet.engines())
-    given = PlacementInput(fleet, state.rows(), usable, state.demand())
-    plan = make_placement(fleet.options).plan(given)
+    placement_input = PlacementInput(fleet, state.rows(), usable, state.demand())
+    plan = make_placement(fleet.options).plan(placement_input)
     loads, unloads = count_moves(fleet, plan, state.rows())
     changes = [str(change) for change in diff_fleets(current, fleet)]
     lines = [f"against version {version}:"]
@@ -93,7 +94,7 @@
 def count_moves(
     fleet: FleetSpec, plan: Plan, ledger: dict[EndpointName, LedgerRow]
 ) -> tuple[int, int]:
-    """Return how many loads and unloads lead from the ledger to a plan."""
+    """Count the loads and unloads required to get from the ledger to a plan."""
     loads = unloads = 0
     for name, models in plan.assignment.items():
         row = ledger.get(name)
@@ -106,7 +107,7 @@
 
 
 async def async_status(platform: Platform, daemons: DaemonClient) -> Result:
-    """Show versions in force, leases, endpoints, models and what needs a look."""
+    """Show versions in force, leases, endpoints, and models without a replica."""
     fleet, version = await async_current_fleet(platform)
     survey = await daemons.async_survey()
     state = await async_read_state(platform)
@@ -116,7 +117,7 @@
     }
     lines = [f"committed version: {version}", ""]
     lines += _daemon_lines(survey)
-    lines += ["", *columns([("LEASE", "HOLDER"), *_lease_rows(holders)])]
+    lines += ["", *format_table([("LEASE", "HOLDER"), *_lease_rows(holders)])]
     lines += ["", *_endpoint_lines(fleet, survey, state)]
     replicas = count_replicas(fleet, state)
     missing = sorted(name for name, count in replicas.items() if count == 0)
@@ -151,7 +152,7 @@
         )
     table += [(name, "-", "-", "-", "does not answer") for name in survey.silent]
     table += [(name, "-", "-", "-", "gone") for name in survey.gone]
-    return columns(table)
+    return format_table(table)
 
 
 def _lease_rows(holders: dict[str, LeaseRow | None]) -> list[tuple[str, str]]:
@@ -172,16 +173,16 @@
             if value != "unknown":
                 seen.setdefault(name, value)
     for name, spec in sorted(fleet.endpoints.items() if fleet else ()):
-        kept = state.ledger.get(name)
-        claims = str(len(kept.row.claims)) if kept else "-"
-        free_mb = str(sum(kept.row.free_mb())) if kept else "-"
+        entry = state.ledger.get(name)
+        claims = str(len(entry.row.claims)) if entry else "-"
+        free_mb = str(sum(entry.row.free_mb())) if entry else "-"
         state_name = seen.get(name, "unknown")
         table.append((name, spec.failure_domain, state_name, claims, free_mb))
-    return columns(table)
+    return format_table(table)
 
 
 def count_replicas(fleet: FleetSpec | None, state: StateTable) -> dict[str, int]:
-    """Return how many endpoints hold each declared model or adapter ready."""
+    """Count the usable endpoints that have loaded each declared model or adapter."""
     if fleet is None:
         return {}
     rows = [row for name, row in state.rows().items() if name in state.usable()]
@@ -194,18 +195,20 @@
 
 
 async def async_explain(platform: Platform, name: str) -> Result:
-    """Show where a model is and why."""
+    """Show where a model is placed and why."""
     fleet, version = await async_current_fleet(platform)
     model = fleet.base_model(name) if fleet is not None else None
     if model is None:
-        return failed(
+        return make_failure(
             ExitCode.INVALID,
             f"{name}: not declared in version {version}",
             "see: chutelink status",
         )
     state = await async_read_state(platform)
-    given = PlacementInput(fleet, state.rows(), state.usable(), state.demand())
-    plan = make_placement(fleet.options).plan(given)
+    placement_input = PlacementInput(
+        fleet, state.rows(), state.usable(), state.demand()
+    )
+    plan = make_placement(fleet.options).plan(placement_input)
     planned = plan.holders(model.name)
     lines = [
         f"{name}: served by model {model.artifact}, {model.memory_mb} MB on each of "
@@ -216,20 +219,20 @@
     ]
     if model.name in plan.unplaced:
         lines.append("no endpoint has the memory for it now")
-    where = _claims_of(fleet, state, name)
-    lines += [f"  {endpoint}: {_describe_claim(claim)}" for endpoint, claim in where]
+    claims = _find_claims(fleet, state, name)
+    lines += [f"  {endpoint}: {_describe_claim(claim)}" for endpoint, claim in claims]
     data = {
         "model": model.name,
         "planned": planned,
         "claims": [
             {"endpoint": endpoint, **msgspec.to_builtins(claim)}
-            for endpoint, claim in where
+            for endpoint, claim in claims
         ],
     }
     return Result(ExitCode.OK, lines, data)
 
 
-def _claims_of(
+def _find_claims(
     fleet: FleetSpec, state: StateTable, name: str
 ) -> list[tuple[str, Claim]]:
     names = {name, fleet.base_model(name).name}
@@ -249,13 +252,13 @@
 
 
 async def async_drain(platform: Platform, name: str, *, is_undo: bool) -> Result:
-    """Keep new work away from an endpoint or a VM, or let it back."""
+    """Drain an endpoint or a VM, or undo its drain."""
     fleet, version = await async_current_fleet(platform)
     endpoints = fleet.endpoints.values() if fleet is not None else ()
     known = {e.name for e in endpoints} | {e.vm for e in endpoints}
     if name not in known and not is_undo:
         message = f"{name}: no endpoint or VM of that name in version {version}"
-        return failed(ExitCode.INVALID, message, "see: chutelink status")
+        return make_failure(ExitCode.INVALID, message, "see: chutelink status")
     row = (await platform.table.async_read(KEY_DRAINS)).get(KEY_DRAINS)
     names = set((decode_value(row, Drains) or Drains()).names)
     names = names - {name} if is_undo else names | {name}
@@ -267,6 +270,6 @@
         )
     except TransactionConflict:
         message = "another operator changed the drains at the same moment"
-        return failed(ExitCode.CONFLICT, message, "run it again")
+        return make_failure(ExitCode.CONFLICT, message, "run it again")
     lines = [f"draining: {', '.join(drains.names) or 'nothing'}"]
     return Result(ExitCode.OK, lines, {"drains": list(drains.names)})
--- a/chutelink/cli/main.py
+++ b/chutelink/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``chutelink``, the operators' tool."""
+"""Entry point of ``chutelink``, the command line tool for operators."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     async_plan,
     async_status,
 )
-from .output import ExitCode, Result, failed, show
+from .output import ExitCode, Result, make_failure, print_result
 
 ENV_SETTINGS = "CHUTELINK_SETTINGS"
 DEFAULT_SETTINGS = "chutelink.ini"
 DEFAULT_WAIT_S = 10.0
 
 EXIT_CODES = """\
-exit codes: 0 done; 1 failed, nothing was changed; 2 invalid file, settings or
+exit codes: 0 success; 1 failed, nothing was changed; 2 invalid file, settings or
 name; 3 conflict with another operator; 4 outcome unknown, use --resume;
-5 not in force everywhere in time"""
+5 not in force everywhere within the time limit"""
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="chutelink",
         description="Declare what is served, where and for whom.",
@@ -55,27 +55,31 @@
         help=f"INI file with [platform] (default: ${ENV_SETTINGS}, "
         f"else {DEFAULT_SETTINGS})",
     )
-    parser.add_argument("--json", action="store_true", help="output for programs")
+    parser.add_argument(
+        "--json", action="store_true", help="print machine-readable JSON"
+    )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     add = commands.add_parser
-    command = add("validate", help="check a fleet file, without the platform")
+    command = add("validate", help="check a fleet file without contacting the platform")
     command.add_argument("file", type=Path)
-    command = add("plan", help="show what a fleet file would change and cost")
+    command = add(
+        "plan", help="show the changes of a fleet file and the loads they need"
+    )
     command.add_argument("file", type=Path)
-    _add_apply(add("apply", help="commit a fleet file as a whole"))
+    _add_apply(add("apply", help="commit a fleet file"))
     add("status", help="show daemons, leases, endpoints and models")
     add("history", help="list the committed versions")
-    command = add("drain", help="keep new work away from an endpoint or VM")
+    command = add("drain", help="stop sending new work to an endpoint or VM")
     command.add_argument("name", metavar="ENDPOINT|VM")
-    command.add_argument("--undo", action="store_true", help="let it back")
-    command = add("explain", help="show where a model is and why")
+    command.add_argument("--undo", action="store_true", help="cancel the drain")
+    command = add("explain", help="show where a model is placed and why")
     command.add_argument("name", metavar="MODEL")
-    command = add("held", help="list requests kept away that end their endpoints")
+    command = add("held", help="list quarantined requests, which crash endpoints")
     command.add_argument("daemon", metavar="HOST:PORT")
-    command.add_argument("--free", metavar="FINGERPRINT", help="let one run again")
-    command = add("customers", help="show quotas, what was used and refused")
+    command.add_argument("--free", metavar="FINGERPRINT", help="release a request")
+    command = add("customers", help="show quotas, usage and rejections of customers")
     command.add_argument("daemons", metavar="HOST:PORT", nargs="+")
-    command = add("explain-request", help="walk collected logs from a request's id")
+    command = add("explain-request", help="trace a request through collected logs")
     command.add_argument("request", metavar="ID")
     command.add_argument("files", metavar="FILE", type=Path, nargs="+")
     return parser
@@ -84,16 +88,16 @@
 def _add_apply(command: argparse.ArgumentParser) -> None:
     command.add_argument("file", type=Path, nargs="?")
     command.add_argument(
-        "--base", type=int, help="the version that the file was based on; 0 for none"
+        "--base", type=int, help="version that the file is based on; 0 if none"
     )
     command.add_argument(
-        "--wait", action="store_true", help="return once it is in force everywhere"
+        "--wait", action="store_true", help="wait until it is in force everywhere"
     )
     command.add_argument(
-        "--timeout-s", type=float, default=DEFAULT_WAIT_S, help="for --wait"
+        "--timeout-s", type=float, default=DEFAULT_WAIT_S, help="time limit of --wait"
     )
     command.add_argument(
-        "--resume", metavar="APPLY_ID", help="find out what became of an apply"
+        "--resume", metavar="APPLY_ID", help="determine the outcome of an apply"
     )
 
 
@@ -104,7 +108,9 @@
     if args.resume and not args.file:
         result = await applier.async_resume(ApplyId(args.resume))
     elif args.file is None or args.base is None:
-        return failed(ExitCode.INVALID, "apply needs FILE and --base, or --resume")
+        return make_failure(
+            ExitCode.INVALID, "apply requires FILE and --base, or --resume"
+        )
     else:
         apply_id = ApplyId(args.resume) if args.resume else None
         base = ConfigVersion(args.base)
@@ -138,25 +144,25 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command."""
+    """Run one command and return its exit code."""
     args = make_parser().parse_args(argv)
     if args.command == "validate":
-        return show(validate(args.file), is_json=args.json)
+        return print_result(validate(args.file), is_json=args.json)
     if args.command == "explain-request":
         result = explain_request(args.request, args.files)
-        return show(result, is_json=args.json)
+        return print_result(result, is_json=args.json)
     try:
         result = asyncio.run(_async_run(args))
     except SettingsError as error:
-        result = failed(ExitCode.INVALID, error.message, "check --settings")
+        result = make_failure(ExitCode.INVALID, error.message, "check --settings")
     except WriteOutcomeUnknown as error:
-        result = failed(ExitCode.UNKNOWN, str(error), "see: chutelink status")
+        result = make_failure(ExitCode.UNKNOWN, str(error), "see: chutelink status")
     except ChutelinkError as error:
-        advice = "look at the platform, then run it again"
-        result = failed(ExitCode.FAILED, str(error), advice)
+        advice = "check the platform, then run it again"
+        result = make_failure(ExitCode.FAILED, str(error), advice)
     except KeyboardInterrupt:
-        result = failed(ExitCode.UNKNOWN, "interrupted", "see: chutelink history")
-    return show(result, is_json=args.json)
+        result = make_failure(ExitCode.UNKNOWN, "interrupted", "see: chutelink history")
+    return print_result(result, is_json=args.json)
 
 
 if __name__ == "__main__":
--- a/chutelink/cli/output.py
+++ b/chutelink/cli/output.py
@@ -1,4 +1,4 @@
-"""Exit codes and output, as text for people or JSON for programs."""
+"""Exit codes and output of the command line tool, as text or JSON."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the command line returns."""
+    """Exit codes of the command line tool."""
 
     OK = 0
     FAILED = 1
@@ -21,14 +21,14 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What a command found: lines for people, data for programs."""
+    """Result of a command: lines for text output, data for JSON output."""
 
     code: ExitCode
     lines: list[str]
     data: dict
 
 
-def show(result: Result, *, is_json: bool) -> int:
+def print_result(result: Result, *, is_json: bool) -> int:
     """Print a result and return the exit code."""
     if is_json:
         print(msgspec.json.encode({"exit_code": result.code, **result.data}).decode())
@@ -39,19 +39,20 @@
             print(line, file=stream)
         stream.flush()
     except BrokenPipeError:
-        # The reader, such as head, has seen enough; what was done stays done.
+        # The reader, such as head, closed the pipe. The exit code is still that of
+        # the command, and flushing at exit must not raise again.
         os.dup2(os.open(os.devnull, os.O_WRONLY), stream.fileno())
     return int(result.code)
 
 
-def failed(code: ExitCode, message: str, advice: str = "") -> Result:
-    """Return a failure with what to do about it."""
+def make_failure(code: ExitCode, message: str, advice: str = "") -> Result:
+    """Return a failure with a message and advice on how to proceed."""
     lines = [message] + ([advice] if advice else [])
     return Result(code, lines, {"error": message, "advice": advice})
 
 
-def columns(rows: list[tuple[str, ...]]) -> list[str]:
-    """Return rows as aligned columns."""
+def format_table(rows: list[tuple[str, ...]]) -> list[str]:
+    """Format rows as a table with aligned columns."""
     if not rows:
         return []
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
--- a/chutelink/platform/endpoints.py
+++ b/chutelink/platform/endpoints.py
@@ -119,7 +119,7 @@
         ) from error
     if int(wire.address.rpartition(":")[2]) > MAX_PORT:
         raise EndpointFailed(
-            f"port above {MAX_PORT}", step="registration.decode", peer=endpoint
+            "port number is out of range", step="registration.decode", peer=endpoint
         )
     return EndpointRecord(
         id=EndpointId(endpoint),
--- a/tests/cli/test_explain_request.py
+++ b/tests/cli/test_explain_request.py
@@ -1,4 +1,4 @@
-"""From a request's id to what decided its fate, over several logs."""
+"""Tracing of a request through the logs of several daemons."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 FIRST = f"""time=2026-01-01T00:00:01.000000Z {HEAD} event=lease_lost reason=expired
 time=2026-01-01T00:00:02.000000Z {HEAD} event=placement_begun endpoint=i-1 model=m1
 time=2026-01-01T00:00:02.000000Z {HEAD} event=placement_begun endpoint=i-9 model=m9
-not a line of ours
+not a line of this format
 """
 SECOND = f"""time=2026-01-01T00:00:02.500000Z {HEAD} event=attempt_failed request=q1 \
 endpoint=i-1 result=failed error="reset by peer [step=stream]"
@@ -26,7 +26,7 @@
     return paths
 
 
-def test_the_walk_joins_the_logs_of_several_daemons(tmp_path):
+def test_logs_of_several_daemons_are_merged(tmp_path):
     result = explain_request("q1", write(tmp_path))
     assert result.code is ExitCode.OK
     assert [line["event"] for line in result.data["own"]] == [
@@ -38,14 +38,14 @@
     assert "ended unknown with status 502" in result.lines[-1]
 
 
-def test_an_unknown_request_is_said_to_be_unknown(tmp_path):
+def test_unknown_request_fails(tmp_path):
     assert explain_request("q9", write(tmp_path)).code is ExitCode.FAILED
 
 
-def test_a_missing_file_is_an_error_of_the_caller(tmp_path):
+def test_missing_file_is_invalid(tmp_path):
     assert explain_request("q1", [tmp_path / "c.log"]).code is ExitCode.INVALID
 
 
-def test_quoted_values_keep_their_spaces():
+def test_quoted_value_keeps_its_spaces():
     line = parse_line('time=2026-01-01T00:00:01Z event=x reason="a \\"b\\" c"')
     assert line.fields["reason"].startswith("a ")
