--- a/chutelink/clock.py
+++ b/chutelink/clock.py
@@ -1,8 +1,8 @@
-"""The one clock by which daemons measure time.
+"""The clock with which daemons measure time.
 
-A VM may be suspended for seconds, which ``time.monotonic`` does not count: a lease, a
-deadline or the age of what was read would outlast their time by as much. This clock
-counts it, and no change of the time of day moves it.
+A VM may be suspended for seconds. ``time.monotonic`` does not count that time, so that
+leases, deadlines and the age of cached data would be off by as much. This clock counts
+it, and is not affected by changes of the wall clock.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 
 
 def now_s() -> float:
-    """Return seconds since the VM's start, those of suspensions among them."""
+    """Return seconds since the VM booted, including time while it was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class BoottimeLoop(asyncio.SelectorEventLoop):
-    """Timers by the same clock: those that are due run first after a suspension.
+    """Event loop whose timers use the same clock, so that suspensions count.
 
-    The wait for the earliest timer may last on for what was left of it; daemons have
-    one every few ms.
+    Timers that became due during a suspension run right after it, except that the
+    selector may first wait for the rest of its timeout. Daemons have a timer every few
+    ms, which keeps this short.
     """
 
     def time(self) -> float:
-        """Return the loop's time in seconds."""
+        """Return the event loop's time in seconds."""
         return now_s()
--- a/chutelink/configuration.py
+++ b/chutelink/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: from the table service, or from peers meanwhile."""
+"""The configuration in force, read from the table service or received from peers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ConfigHead(msgspec.Struct, frozen=True):
-    """The row that says which version is committed."""
+    """The row that names the committed version."""
 
     version: ConfigVersion
     hash: str
@@ -28,13 +28,13 @@
 
 
 class Drains(msgspec.Struct, frozen=True):
-    """The row that names what operators drain: endpoints and VMs."""
+    """The row that lists the endpoints and VMs that operators drain."""
 
     names: tuple[str, ...] = ()
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A whole fleet file with its version."""
+    """A fleet file with its version and parsed content."""
 
     version: ConfigVersion
     hash: str
@@ -43,18 +43,18 @@
 
 
 class ConfigKeeper(Service):
-    """Brings committed versions in force; a version never goes down.
+    """Puts committed versions into force; the version never decreases.
 
     Parameters
     ----------
     core : Application
-        The owner.
+        Application that provides the log, metrics and random numbers.
     platform : Platform
-        Where the committed version is.
+        Platform that stores the committed versions.
     mesh : Mesh
-        Peers that may know of a newer version sooner.
+        Peers, which may learn of a newer version earlier.
     poll_interval_s : float
-        How often the head is read.
+        Interval at which the head is read.
     """
 
     def __init__(
@@ -73,27 +73,27 @@
         self._wake = asyncio.Event()
         self._listeners: list[Callable[[], None]] = []
         mesh.config_version = lambda: self.version
-        mesh.config_body = self._as_body
+        mesh.config_body = self._make_body
         mesh.on_config_version = self._on_peer_version
         mesh.on_config_body = self._on_peer_body
 
     @property
     def version(self) -> ConfigVersion:
-        """The version in force, 0 for none."""
+        """The version in force, 0 if there is none."""
         return self.current.version if self.current is not None else NO_VERSION
 
     @property
     def fleet(self) -> FleetSpec | None:
-        """The fleet in force, if any."""
+        """The fleet in force, None if there is none."""
         return self.current.fleet if self.current is not None else None
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the table service has been seen to hold this version."""
+        """Whether the table service has confirmed the version in force."""
         return self.current is not None and self._confirmed >= self.current.version
 
-    def listen(self, listener: Callable[[], None]) -> None:
-        """Call a function after each change of the fleet or of the drains."""
+    def add_listener(self, listener: Callable[[], None]) -> None:
+        """Register a callback for changes of the fleet or the drains."""
         self._listeners.append(listener)
 
     @Service.task
@@ -103,11 +103,11 @@
                 await self._async_poll()
             except PlatformUnavailable as error:
                 self._core.events.warning("config_poll_failed", error=error)
-                self._ask_peers()
+                self._request_from_peers()
             pause_s = self._poll_interval_s * self._core.rng.uniform(0.8, 1.0)
-            await self._async_pause(pause_s)
+            await self._async_wait(pause_s)
 
-    async def _async_pause(self, pause_s: float) -> None:
+    async def _async_wait(self, pause_s: float) -> None:
         self._wake.clear()
         try:
             await asyncio.wait_for(self._wake.wait(), pause_s)
@@ -117,26 +117,26 @@
     async def _async_poll(self) -> None:
         table = self._platform.table
         page = await table.async_read(PREFIX_CONTROL, self._control_version)
-        self._take_drains(page)
+        self._update_drains(page)
         head = decode_value(page.get(KEY_CONFIG_HEAD), ConfigHead) or self._head
         self._head = head
         if head is not None and head.version > self.version:
             await self._async_fetch(head)
         if head is not None and head.version <= self.version:
             self._confirmed = max(self._confirmed, head.version)
-        # Only advanced once the body is in: a failed fetch is tried again.
+        # Only advanced after the body was fetched, so that a failed fetch is retried.
         self._control_version = max(self._control_version, page.version)
-        self._show()
+        self._update_metrics()
 
-    def _take_drains(self, page: RowPage) -> None:
+    def _update_drains(self, page: RowPage) -> None:
         drains = decode_value(page.get(KEY_DRAINS), Drains)
         if drains is None or drains == self.drains:
             return
         self.drains = drains
-        self._notify()
+        self._notify_listeners()
 
     async def _async_fetch(self, head: ConfigHead) -> None:
-        """Bring a committed version in force, by the object store or a peer."""
+        """Fetch and activate a committed version, from the object store or a peer."""
         try:
             body = await self._platform.objects.async_get(head.hash)
         except PlatformUnavailable:
@@ -144,26 +144,28 @@
             raise
         if body is None:
             raise PlatformUnavailable(
-                "body is missing", step="config.fetch", peer=head.hash
+                "object of the committed version is missing",
+                step="config.fetch",
+                peer=head.hash,
             )
-        # A peer's copy may have come in force while this one was on its way.
+        # A copy from a peer may have come into force during the fetch.
         if head.version > self.version:
-            self._put(ConfigBody(head.version, head.hash, body.decode()))
+            self._activate(ConfigBody(head.version, head.hash, body.decode()))
 
-    def _ask_peers(self) -> None:
+    def _request_from_peers(self) -> None:
         if self._mesh.highest_peer_version() > self.version:
             self._mesh.request_config(ConfigVersion(self.version + 1))
 
     def _on_peer_version(self, version: ConfigVersion) -> None:
-        """Hear of a newer version: look at once, and ask the peer as well."""
+        """Poll at once for a newer version, and request it from peers as well."""
         self._mesh.request_config(version)
         self._wake.set()
 
     def _on_peer_body(self, body: ConfigBody) -> None:
         if body.version > self.version:
-            self._put(body)
+            self._activate(body)
 
-    def _put(self, body: ConfigBody) -> None:
+    def _activate(self, body: ConfigBody) -> None:
         if hash_fleet(body.text) != body.hash:
             self._core.metrics.violations.inc({"step": "config.hash"})
             self._core.events.error("config_hash_wrong", version=body.version)
@@ -174,18 +176,18 @@
                 "config_unreadable", version=body.version, problem=result.failure()[0]
             )
             return
-        self._check_rises(body.version)
+        self._check_version_increases(body.version)
         self.current = Configuration(
             body.version, body.hash, body.text, result.unwrap()
         )
         self._core.events.info(
             "config_in_force", version=body.version, confirmed=self.is_confirmed
         )
-        self._show()
+        self._update_metrics()
         self._mesh.announce_config()
-        self._notify()
+        self._notify_listeners()
 
-    def _check_rises(self, version: ConfigVersion) -> None:
+    def _check_version_increases(self, version: ConfigVersion) -> None:
         if version > self.version:
             return
         self._core.metrics.violations.inc({"step": "config.version"})
@@ -193,15 +195,15 @@
             f"version {version} after {self.version}", step="config.version"
         )
 
-    def _as_body(self) -> ConfigBody | None:
+    def _make_body(self) -> ConfigBody | None:
         if self.current is None:
             return None
         return ConfigBody(self.current.version, self.current.hash, self.current.text)
 
-    def _show(self) -> None:
+    def _update_metrics(self) -> None:
         self._core.metrics.config_version.set({}, self.version)
         self._core.metrics.config_confirmed.set({}, int(self.is_confirmed))
 
-    def _notify(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
--- a/chutelink/connections.py
+++ b/chutelink/connections.py
@@ -1,4 +1,4 @@
-"""Connections of callers while a daemon stops."""
+"""Closing of callers' connections while a daemon shuts down."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 def close_idle(server: web.Server) -> int:
     """Close the connections that wait for a request.
 
-    The server's own ``pre_shutdown`` leaves them open and drops what arrives on any
-    connection, also the rest of a body.
+    This replaces the server's ``pre_shutdown``, which leaves idle connections open and
+    discards data received on any connection, including the rest of a request body.
 
     Parameters
     ----------
     server : web.Server
-        Owner of the connections.
+        Server whose connections are closed.
 
     Returns
     -------
     int
-        How many connections are left: a request was read on each of them.
+        Number of remaining connections, on each of which a request was received.
     """
     connections = server.connections
     idle = [connection for connection in connections if _is_idle(connection)]
@@ -30,10 +30,11 @@
 
 
 def _is_idle(connection: RequestHandler) -> bool:
-    """Return whether no request was read that is still to be answered.
+    """Return whether the connection has no request that is still to be answered.
 
-    Between the arrival of a request and its handler there are turns of the loop, in
-    which only the library's own state tells; its keep-alive timer goes by the same.
+    A request is received some iterations of the event loop before its handler starts.
+    In between, only aiohttp's private waiter shows it; aiohttp's keep-alive timer
+    relies on the same state.
     """
     waiter = connection._waiter
     return waiter is not None and not waiter.done()
--- a/chutelink/const.py
+++ b/chutelink/const.py
@@ -1,4 +1,4 @@
-"""Names and defaults shared by all programs."""
+"""Names and limits shared by all programs."""
 
 from __future__ import annotations
 
--- a/chutelink/core.py
+++ b/chutelink/core.py
@@ -1,4 +1,4 @@
-"""The application object: owns what a daemon uses and cleans it up."""
+"""Base class of the daemons, which owns their shared resources."""
 
 from __future__ import annotations
 
@@ -24,25 +24,26 @@
 from .log import EventLog, setup_logging
 from .metrics import CONTENT_TYPE, Metrics
 from .settings import DaemonSection
-from .startup import EXIT_FAILED, EXIT_OK, Start, prepare_start
+from .startup import EXIT_FAILED, EXIT_OK, StartupContext, prepare_start
 
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
-CONNECTIONS_TO_ONE_HOST = 0
+MAX_CONNECTIONS_PER_HOST = 0
+"""0 means unlimited to aiohttp."""
 CLOSE_POLL_S = 0.05
 
 
 class Application(Service):
-    """Base of the daemons.
+    """Base class of the daemons.
 
-    Owns the HTTP session and server, the log, the metrics and the tracer; starts
-    its parts in order and stops them in the reverse order.
+    Owns the HTTP session and server, the log, the metrics and the tracer. Starts its
+    services in order and stops them in reverse order.
 
     Parameters
     ----------
     program : str
-        Name for logs and traces.
+        Name of the program in logs and traces.
     daemon : DaemonSection
-        Who this process is and where it listens.
+        Identity and addresses of this process.
     """
 
     abstract = True
@@ -66,9 +67,9 @@
         self._site: web.TCPSite | None = None
 
     async def on_start(self) -> None:
-        """Open the session and the parts, then listen."""
+        """Open the HTTP session, start the services, then listen."""
         connector = aiohttp.TCPConnector(
-            limit=0, limit_per_host=CONNECTIONS_TO_ONE_HOST, use_dns_cache=False
+            limit=0, limit_per_host=MAX_CONNECTIONS_PER_HOST, use_dns_cache=False
         )
         no_limit = aiohttp.ClientTimeout(total=None)
         self.session = aiohttp.ClientSession(connector=connector, timeout=no_limit)
@@ -81,7 +82,7 @@
         )
 
     async def _async_export_spans(self) -> None:
-        """Keep spans, and send them to the collector."""
+        """Record spans and export them to the collector."""
         from .trace_export import SpanExporter, SpanQueue, make_tracer
 
         queue = SpanQueue(self.metrics)
@@ -90,15 +91,16 @@
         await self.add_runtime_dependency(exporter)
 
     def request_drain(self) -> None:
-        """Stop gracefully; the grace counts from the first request on.
+        """Request a graceful stop.
 
-        That may come while the parts are still being started.
+        The grace period starts with the first request, which may arrive while the
+        services are still starting.
         """
         self.drain_requested_s = min(self.drain_requested_s, self.clock())
         self.drain_requested.set()
 
     async def on_shutdown(self) -> None:
-        """Close the server and the session, after the parts have stopped."""
+        """Close the server and the session after the services have stopped."""
         if self._runner is not None:
             await self._runner.cleanup()
         if self.session is not None:
@@ -107,26 +109,26 @@
 
     @abstractmethod
     async def async_setup_parts(self) -> None:
-        """Create and start the parts of this program."""
+        """Create and start the services of this program."""
 
     @abstractmethod
     def add_routes(self, app: web.Application) -> None:
-        """Add the program's own HTTP routes."""
+        """Add the HTTP routes of this program."""
 
     @abstractmethod
     async def async_drain(self) -> None:
-        """Leave gracefully: return once nothing is left in flight."""
+        """Drain: return once no request is in flight."""
 
     @abstractmethod
     def is_ready(self) -> bool:
-        """Return whether this daemon can do its work now."""
+        """Return whether this daemon is ready to serve."""
 
     def take_settings(self, settings: msgspec.Struct) -> None:
-        """Take over settings that were read again; by default none may change."""
+        """Apply settings that were reloaded; by default none may change."""
 
     @property
     def max_body_bytes(self) -> int:
-        """The largest request body taken."""
+        """Maximum size of a request body."""
         return 1_000_000
 
     async def _async_listen(self) -> None:
@@ -149,9 +151,9 @@
         await self._site.start()
 
     async def async_close_server(self) -> None:
-        """Take no more connections, and close each when nothing is left on it."""
+        """Stop accepting connections, and close each as soon as it is idle."""
         await self._site.stop()
-        # What was accepted a moment ago becomes a connection in the next turns.
+        # Sockets just accepted become connections in the next loop iterations.
         await asyncio.sleep(CLOSE_POLL_S)
         while close_idle(self._runner.server):
             await asyncio.sleep(CLOSE_POLL_S)
@@ -184,7 +186,7 @@
         app.events.error("start_failed", error=error)
         await app.stop()
         return EXIT_FAILED
-    # Returns early when a part crashes, too.
+    # Also returns when a service crashes.
     await app.wait(app.drain_requested.wait())
     if app.crash_reason is None:
         app.is_draining = True
@@ -213,15 +215,16 @@
     Raises
     ------
     SystemExit
-        With 2 for bad settings.
+        With code 2 for invalid settings.
     """
     return run_daemon(prepare_start(program, description, kind), make_application)
 
 
 def run_daemon(
-    start: Start[SettingsT], make_application: Callable[[SettingsT], Application]
+    start: StartupContext[SettingsT],
+    make_application: Callable[[SettingsT], Application],
 ) -> int:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until it is asked to stop.
 
     Returns
     -------
@@ -231,7 +234,7 @@
 
     def reload(app: Application) -> None:
         try:
-            app.take_settings(start.reread())
+            app.take_settings(start.reload_settings())
         except SettingsError as error:
             app.events.error("settings_refused", error=error)
             return
--- a/chutelink/daemon.py
+++ b/chutelink/daemon.py
@@ -1,4 +1,4 @@
-"""What gateways and directors have in common."""
+"""Base class of gateways and directors."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 
 
 class DaemonRow(msgspec.Struct, frozen=True):
-    """The row by which operators' tools find a daemon."""
+    """The row with which operators' tools find a daemon."""
 
     member: Member
 
 
 class DaemonStatus(msgspec.Struct, frozen=True):
-    """What a daemon says of itself to operators."""
+    """Status of a daemon, as reported to operators."""
 
     daemon: str
     role: Role
@@ -63,7 +63,7 @@
 
 
 class Daemon(Application):
-    """An application that is a member, follows the configuration and watches."""
+    """A daemon that is a member, follows the configuration and polls endpoints."""
 
     abstract = True
     role: Role
@@ -80,11 +80,11 @@
         self.keeper: ConfigKeeper | None = None
         self.client: EndpointClient | None = None
         self.monitor: EndpointMonitor | None = None
-        self._registering: asyncio.Task | None = None
+        self._registration_task: asyncio.Task | None = None
 
     def _make_member(self) -> Member:
-        # Compared only with what peers remember of this same daemon; if a
-        # clock went back, the mesh raises it above that.
+        # Only compared with what peers know of this same daemon. If the clock was set
+        # back, the mesh raises the incarnation above that.
         incarnation = time.time_ns() // 1_000_000
         return Member(
             self.daemon_id,
@@ -99,7 +99,7 @@
         )
 
     async def async_setup_parts(self) -> None:
-        """Create the common parts, then the program's own, then start all."""
+        """Create the common services, then those of the role, and start them."""
         self.platform = async_setup_platform(self.session, self.settings.platform)
         self.mesh = Mesh(self, self.settings.peers, self.members)
         self.keeper = ConfigKeeper(
@@ -114,15 +114,15 @@
             self.settings.endpoints,
             self.is_watched,
         )
-        self.monitor.on_vms = self._take_vms
-        self.keeper.listen(self._on_config)
+        self.monitor.on_vms = self._update_seeds
+        self.keeper.add_listener(self._on_config)
         await self.async_setup_role()
-        for part in (self.mesh, self.keeper, self.monitor):
-            await self.add_runtime_dependency(part)
-        self._registering = asyncio.ensure_future(self._async_register())
+        for service in (self.mesh, self.keeper, self.monitor):
+            await self.add_runtime_dependency(service)
+        self._registration_task = asyncio.ensure_future(self._async_register())
 
     async def async_setup_role(self) -> None:
-        """Create the parts of this role."""
+        """Create the services of this role."""
         raise NotImplementedError
 
     def is_watched(self, name: EndpointName) -> bool:
@@ -130,14 +130,14 @@
         return True
 
     def on_fleet(self) -> None:
-        """Bring the parts of this role in line with the fleet in force."""
+        """Update the services of this role after a change of the fleet in force."""
 
     def fill_status(self, status: DaemonStatus) -> DaemonStatus:
-        """Add what this role knows."""
+        """Add the fields of this role to a status."""
         return status
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the route for operators."""
+        """Add the status route for operators."""
         app.router.add_get(PATH_STATUS, self._async_status)
 
     def is_ready(self) -> bool:
@@ -145,9 +145,9 @@
         return self.keeper is not None and self.keeper.fleet is not None
 
     async def on_stop(self) -> None:
-        """Stop what was started beside the parts."""
-        if self._registering is not None:
-            self._registering.cancel()
+        """Stop the registration and the endpoint client, which are not services."""
+        if self._registration_task is not None:
+            self._registration_task.cancel()
         if self.client is not None:
             await self.client.async_close()
 
@@ -158,20 +158,20 @@
         self.monitor.sync(frozenset(self.keeper.drains.names))
         self.on_fleet()
 
-    def _take_vms(self, vms: list[Vm]) -> None:
+    def _update_seeds(self, vms: list[Vm]) -> None:
         seeds = {f"{vm.address}:{port}" for vm in vms for port in vm.peer_ports}
         self.mesh.set_seeds(seeds)
 
     @Service.task
     async def _async_join(self) -> None:
-        """Become a member that others use once this daemon is ready."""
+        """Announce this daemon as alive to members once it is ready."""
         while not self.is_ready():
             await self.sleep(JOIN_POLL_S)
         if not self.is_draining:
             self.mesh.announce_alive()
 
     async def _async_register(self) -> None:
-        """Write the row by which operators' tools find this daemon."""
+        """Write the row with which operators' tools find this daemon."""
         key = PREFIX_DAEMON + self.daemon_id
         value = msgspec.to_builtins(DaemonRow(self.members.own))
         while not self.should_stop:
--- a/chutelink/exceptions.py
+++ b/chutelink/exceptions.py
@@ -1,19 +1,19 @@
-"""Typed errors; each carries the step and the peer at which it arose."""
+"""Exceptions of the project; each carries the step and peer where it occurred."""
 
 from __future__ import annotations
 
 
 class ChutelinkError(Exception):
-    """Base of all errors of the project.
+    """Base class of all exceptions of the project.
 
     Parameters
     ----------
     message : str
-        What went wrong, for people.
+        Human-readable description of the error.
     step : str
         The step that failed, such as ``"ledger.claim"``.
     peer : str, default=""
-        The process, file or row at the other side, if any.
+        The process, file or row that the step concerned, if any.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = "") -> None:
@@ -23,24 +23,24 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        place = f" peer={self.peer}" if self.peer else ""
-        return f"{self.message} [step={self.step}{place}]"
+        suffix = f" peer={self.peer}" if self.peer else ""
+        return f"{self.message} [step={self.step}{suffix}]"
 
 
 class SettingsError(ChutelinkError):
-    """A settings file can't be used; the message has the line."""
+    """A settings file is invalid; the message contains the line numbers."""
 
 
 class PlatformUnavailable(ChutelinkError):
-    """The platform did not take the call; nothing was changed by it."""
+    """The platform did not execute the call; nothing was changed."""
 
 
 class HistoryLost(ChutelinkError):
-    """The changes that were asked for are no longer kept."""
+    """The requested changes are no longer available."""
 
 
 class ConfigInvalid(ChutelinkError):
-    """A configuration can't be understood; the one in force stays."""
+    """A configuration is invalid; the one in force stays in effect."""
 
 
 class WriteOutcomeUnknown(ChutelinkError):
@@ -48,19 +48,19 @@
 
 
 class TransactionConflict(ChutelinkError):
-    """A condition of a transaction did not hold; nothing was changed."""
+    """A condition of a transaction was not met; nothing was changed."""
 
 
 class LeaseNotHeld(ChutelinkError):
-    """The lease is not held, or is too near its end to act on."""
+    """The lease is not held, or too close to its expiry to act on it."""
 
 
 class OrderNotPossible(ChutelinkError):
-    """The ledger row as it is now does not allow the step."""
+    """The current ledger row does not allow the operation."""
 
 
 class InvariantViolated(ChutelinkError):
-    """An invariant of the program does not hold; the change is refused."""
+    """A change would violate an invariant of the program; it is rejected."""
 
 
 class EndpointUnreachable(ChutelinkError):
@@ -72,11 +72,11 @@
 
 
 class EndpointFailed(ChutelinkError):
-    """The exchange broke off after the request may have been sent."""
+    """The exchange failed after the request may have been sent."""
 
 
 class ConnectionBroken(EndpointFailed):
-    """The endpoint's side of a connection ended within an exchange.
+    """The endpoint closed the connection during an exchange.
 
     Attributes
     ----------
@@ -88,4 +88,4 @@
 
 
 class PeerMessageInvalid(ChutelinkError):
-    """A message from a peer could not be understood."""
+    """A message from a peer could not be decoded."""
--- a/chutelink/ids.py
+++ b/chutelink/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers, one type for each kind of thing named."""
+"""Types of identifiers, one for each kind of object."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 FailureDomainName = NewType("FailureDomainName", str)
 FencingNumber = NewType("FencingNumber", int)
 Fingerprint = NewType("Fingerprint", str)
-"""What requests have in common that ask for the same with the same content."""
+"""Hash shared by requests with the same target and content."""
 Incarnation = NewType("Incarnation", str)
 KeyHash = NewType("KeyHash", str)
 """SHA-256 of a caller's key, in hex."""
@@ -29,31 +29,31 @@
 ServiceName = NewType("ServiceName", str)
 VmId = NewType("VmId", str)
 ModelRef = NewType("ModelRef", str)
-"""A model, or MODEL/ADAPTER, as callers name what they ask for."""
+"""MODEL or MODEL/ADAPTER, as named by callers in requests."""
 StoreEra = NewType("StoreEra", int)
-"""Rises when the table service comes back from an older copy of itself.
+"""Number that increases when the table service is restored from an older copy.
 
-It then has lost writes, and gives out their versions again.
+The table service has then lost writes and assigns their versions again.
 """
 WriteId = NewType("WriteId", str)
 
 NO_ERA = StoreEra(0)
-"""Of a table service that names none: it loses nothing that it acknowledged."""
+"""Era of a table service that reports none; it never loses acknowledged writes."""
 FIRST_ERA = StoreEra(1)
-"""Of a table service that has lost nothing yet: what it lacks was never written."""
+"""Era of a table service that has lost no writes: an absent row was never written."""
 NO_VERSION = ConfigVersion(0)
 
 
 def make_id() -> str:
-    """Return a new random id of 128 bits in hex."""
+    """Return a new random 128-bit id in hex."""
     return secrets.token_hex(16)
 
 
 def incarnation_of(endpoint: EndpointId, born_ms: int) -> Incarnation:
-    """Return the name of one process of an endpoint."""
+    """Return the identifier of one process of an endpoint."""
     return Incarnation(f"{endpoint}@{born_ms}")
 
 
 def model_ref(model: ModelName, adapter: AdapterName) -> ModelRef:
-    """Return the name of a model, or of an adapter of it."""
+    """Return the reference to a model, or to one of its adapters."""
     return ModelRef(f"{model}/{adapter}" if adapter else model)
--- a/chutelink/ini.py
+++ b/chutelink/ini.py
@@ -1,4 +1,4 @@
-"""INI files read with the place of each key, for errors that name the line."""
+"""INI parser that keeps line numbers for error messages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """One fault in a file, with its place."""
+    """An error in a file, with its location."""
 
     file: str
     line: int
@@ -25,20 +25,20 @@
     message: str
 
     def __str__(self) -> str:
-        where = f"[{self.section}]" if self.section else ""
+        section = f"[{self.section}]" if self.section else ""
         key = f" {self.key}" if self.key else ""
-        return f"{self.file}:{self.line}: {where}{key}: {self.message}"
+        return f"{self.file}:{self.line}: {section}{key}: {self.message}"
 
 
 class Entry(NamedTuple):
-    """A value and the line that it stands on, counted from 1."""
+    """A value and its line number, counted from 1."""
 
     value: str
     line: int
 
 
 class Section(msgspec.Struct, frozen=True):
-    """A section with its keys in the order of the file."""
+    """A section with its entries in file order."""
 
     name: str
     line: int
@@ -46,7 +46,7 @@
 
 
 class IniFile(msgspec.Struct, frozen=True):
-    """A file's sections in order, and what could not be read."""
+    """The sections of a file in order, and its errors."""
 
     file: str
     sections: tuple[Section, ...]
@@ -54,19 +54,19 @@
 
 
 def read_ini(text: str, file: str) -> IniFile:
-    """Split INI text into sections; faults are listed, not raised.
+    """Parse INI text into sections; errors are collected, not raised.
 
     Parameters
     ----------
     text : str
-        The file's content.
+        Content of the file.
     file : str
-        The name for error messages.
+        File name for error messages.
 
     Returns
     -------
     IniFile
-        Sections, and a problem for each line that is not understood.
+        Sections, and a problem for each invalid line.
     """
     if len(text) > MAX_INI_BYTES:
         message = f"larger than {MAX_INI_BYTES} bytes"
@@ -105,38 +105,38 @@
 
 
 def split_list(value: str) -> list[str]:
-    """Split a comma-separated value; empty items are dropped."""
+    """Split a comma-separated value, dropping empty items."""
     return [item.strip() for item in value.split(",") if item.strip()]
 
 
 @functools.cache
-def _fields_of(kind: type) -> dict[str, msgspec.structs.FieldInfo]:
+def _get_fields(kind: type) -> dict[str, msgspec.structs.FieldInfo]:
     return {field.name: field for field in msgspec.structs.fields(kind)}
 
 
 def decode_section(
     section: Section, kind: type, file: str, extra: dict[str, object] | None = None
 ) -> tuple[object | None, list[Problem]]:
-    """Build a struct from a section, checking every key.
+    """Convert a section to a struct and validate every key.
 
     Parameters
     ----------
     section : Section
-        What the file says.
+        Section to convert.
     kind : type
-        A msgspec struct; its fields are the known keys.
+        The msgspec struct type whose fields are the known keys.
     file : str
-        The name for error messages.
+        File name for error messages.
     extra : dict, optional
-        Fields that do not come from keys, such as the name.
+        Values of fields that are not read from keys, such as the name.
 
     Returns
     -------
     tuple
-        The struct, or None with the problems found.
+        The struct, or None, and the list of problems.
     """
     extra = extra or {}
-    fields = _fields_of(kind)
+    fields = _get_fields(kind)
     known = sorted(set(fields) - set(extra))
     problems: list[Problem] = []
     values: dict[str, object] = dict(extra)
@@ -145,9 +145,9 @@
             message = f"unknown key; known here: {', '.join(known)}"
             problems.append(Problem(file, entry.line, section.name, key, message))
             continue
-        value, fault = _convert(entry.value, fields[key].type)
-        if fault:
-            problems.append(Problem(file, entry.line, section.name, key, fault))
+        value, error_text = _convert(entry.value, fields[key].type)
+        if error_text:
+            problems.append(Problem(file, entry.line, section.name, key, error_text))
         values[key] = value
     for key in known:
         if fields[key].required and key not in section.entries:
--- a/chutelink/log.py
+++ b/chutelink/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event."""
+"""Structured logging: one line of key=value pairs for each event."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 REPEAT_PERIOD_S = 10.0
 REPEAT_LIMIT = 20
 RECORD_LIMIT = 2000
-"""Repeats of an event of which each one counts, such as a failed request."""
+"""Limit for events of which every occurrence matters, such as failed requests."""
 MAX_BUFFERED_BYTES = 64 * 1024
-"""Lines kept for a reader that does not keep up; later ones are counted only."""
+"""Buffer for a slow reader; when it is full, further lines are only counted."""
 _MAX_TRACKED_EVENTS = 512
 
 
@@ -35,14 +35,14 @@
 
 
 class EventLog:
-    """Logs events and bounds how often the same event repeats.
+    """Logs events and limits the repetitions of the same event.
 
     Parameters
     ----------
     name : str
-        Channel name, usually the program.
+        Channel name, usually the name of the program.
     clock : callable, default=now_s
-        Seconds on a clock that never goes back.
+        Monotonic clock in seconds.
     """
 
     def __init__(self, name: str, *, clock: Callable[[], float] = now_s) -> None:
@@ -67,7 +67,7 @@
         self._emit(logbook.ERROR, event, fields)
 
     def record(self, event: str, **fields: object) -> None:
-        """Log a decision of which every one is wanted, up to a large bound."""
+        """Log an event of which every occurrence matters, up to ``RECORD_LIMIT``."""
         level = logbook.WARNING if "error" in fields else logbook.INFO
         self._emit(level, event, fields, RECORD_LIMIT)
 
@@ -78,15 +78,15 @@
         fields: dict[str, object],
         limit: int = REPEAT_LIMIT,
     ) -> None:
-        suppressed = self._suppressed(event, limit)
+        suppressed = self._count_suppressed(event, limit)
         if suppressed is None:
             return
         if suppressed:
             fields = {**fields, "suppressed": suppressed}
         self._logger.log(level, "{}", format_event(event, fields))
 
-    def _suppressed(self, event: str, limit: int) -> int | None:
-        """Return how many repeats were left out, or None to leave this out."""
+    def _count_suppressed(self, event: str, limit: int) -> int | None:
+        """Return how many repeats were suppressed, or None to suppress this one."""
         now_s = self._clock()
         start_s, count = self._seen.get(event, (now_s, 0))
         if now_s - start_s < REPEAT_PERIOD_S:
@@ -99,16 +99,16 @@
 
 
 class NonBlockingHandler(logbook.Handler):
-    """Writes lines to a file descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking on a slow reader.
 
     Parameters
     ----------
     fd : int
-        Where to; it is made non-blocking.
+        Target file descriptor, which is set to non-blocking.
     level : int
-        The lowest level written.
+        Lowest level that is written.
     format_string : str
-        How a record looks.
+        Format of a record, for ``logbook.StringFormatter``.
     """
 
     def __init__(self, fd: int, level: int, format_string: str) -> None:
@@ -120,7 +120,7 @@
         os.set_blocking(fd, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a line, or keep it; count it when there is no room."""
+        """Write or buffer a line; drop and count it if the buffer is full."""
         line = self.format(record).encode(errors="replace") + b"\n"
         if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
@@ -129,7 +129,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes."""
+        """Write as much of the buffer as the reader accepts."""
         try:
             while self._buffer:
                 written = os.write(self._fd, self._buffer)
@@ -137,12 +137,12 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone for good; there is nobody left to tell.
+            # The reader has closed the pipe, so the lines can't be delivered.
             self._buffer.clear()
             return
-        self._tell_dropped()
+        self._report_dropped()
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         if self.dropped:
             dropped, self.dropped = self.dropped, 0
             self._buffer += f"event=log_lines_dropped count={dropped}\n".encode()
--- a/chutelink/metrics.py
+++ b/chutelink/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by the field's names, with bounded labels."""
+"""Prometheus metrics, whose labels have a bounded number of values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Metrics:
-    """All metrics of one process, in a registry of its own."""
+    """Metrics of one process, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -74,7 +74,7 @@
         )
 
     def render(self) -> bytes:
-        """Return the metrics in Prometheus's text format."""
+        """Return the metrics in the Prometheus text format."""
         content, _ = render(self.registry, [CONTENT_TYPE])
         return content
 
--- a/chutelink/settings.py
+++ b/chutelink/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs: INI, every key checked, unknown keys refused."""
+"""Settings of the programs, from INI files; unknown keys are rejected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 Port = Annotated[int, Meta(ge=1, le=65535)]
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-Millis = Annotated[float, Meta(gt=0, le=86_400_000)]
+Milliseconds = Annotated[float, Meta(gt=0, le=86_400_000)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Address = Annotated[str, Meta(pattern=r"^[0-9a-fA-F.:]+$")]
 Listen = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
@@ -28,7 +28,7 @@
 
 
 class DaemonSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[daemon]``: who this process is and where it listens."""
+    """``[daemon]``: identity and addresses of this process."""
 
     id: Text
     vm: Text
@@ -43,7 +43,7 @@
 
 
 class PlatformSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[platform]``: the platform's services and how long to wait for them."""
+    """``[platform]``: access to the platform's services, with timeouts and limits."""
 
     url: Annotated[str, Meta(pattern=r"^https?://")]
     key: Text
@@ -54,7 +54,7 @@
 
 
 class PeersSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[peers]``: links between the system's own processes."""
+    """``[peers]``: links between daemons."""
 
     seeds: tuple[str, ...] = ()
     hubs_per_domain: Annotated[int, Meta(ge=1, le=8)] = 2
@@ -64,7 +64,7 @@
 
 
 class EndpointsSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[endpoints]``: how endpoints are watched and called."""
+    """``[endpoints]``: polling of endpoints and requests to them."""
 
     order_key: str = ""
     poll_interval_s: Seconds = 0.25
@@ -75,7 +75,7 @@
 
 
 class GatewaySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[gateway]``: limits on what callers send and how long they wait."""
+    """``[gateway]``: limits and timeouts for requests of callers."""
 
     valid_s: Seconds = 2.0
     subset: Annotated[int, Meta(ge=1, le=64)] = 8
@@ -89,7 +89,7 @@
 
 
 class DirectorSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[director]``: the lease, the pace of placement and of orders."""
+    """``[director]``: the lease, and the rates of placement and of orders."""
 
     lease_s: Seconds = 3.0
     lease_margin_s: Seconds = 0.5
@@ -101,18 +101,18 @@
 
 
 class EntrySection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """``[entry]``: the entry program's addresses and the operators' bounds.
-
-    ``holder_gap_ms`` must lie between orders of two holders; ``retry_ratio`` and
-    ``retry_slack`` bound repeats over all daemons in ``retry_window_s``, and
-    ``cold_load_excess`` is how far above the weight store's rate the loads of
-    ``cold_load_window_s`` may go. A draining endpoint must get nothing new after
-    ``drain_ms``, and a request that is kept away must be refused by every daemon after
-    ``quarantine_apply_ms``. Endpoints write each ``endpoint_heartbeat_ms`` that they
-    live; ``cpu_share`` is this process's share of each core.
-    In any ``quota_window_s`` a customer may get up to its quota and
-    ``quota_excess_share`` of it and ``quota_slack`` more, in the unit of its quota;
-    with ``quota_lending`` daemons lend each other parts of their shares.
+    """``[entry]``: addresses of the entry program and bounds set by the operators.
+
+    ``holder_gap_ms`` is the minimum time between orders of two lease holders.
+    ``retry_ratio`` and ``retry_slack`` limit retries over all daemons in
+    ``retry_window_s``; ``cold_load_excess`` limits the cold loads in
+    ``cold_load_window_s`` as a multiple of the weight store's rate. A draining endpoint
+    must get no new requests after ``drain_ms``, and every daemon must reject a
+    quarantined request after ``quarantine_apply_ms``. Endpoints write a heartbeat every
+    ``endpoint_heartbeat_ms``; ``cpu_share`` is this process's share of each core.
+    In any ``quota_window_s``, a customer may exceed its quota by
+    ``quota_excess_share`` of it plus ``quota_slack``, in the unit of its quota. With
+    ``quota_lending``, daemons lend each other parts of their shares.
     """
 
     caller_listen: Listen
@@ -120,16 +120,16 @@
     ready_listen: Listen
     directory_listen: Listen
     grace_s: Seconds
-    config_apply_ms: Millis
-    drain_ms: Millis
-    quarantine_apply_ms: Millis
-    holder_gap_ms: Millis
+    config_apply_ms: Milliseconds
+    drain_ms: Milliseconds
+    quarantine_apply_ms: Milliseconds
+    holder_gap_ms: Milliseconds
     retry_ratio: Annotated[float, Meta(ge=0, le=1)]
     retry_slack: NotNegative
     retry_window_s: Seconds
     cold_load_window_s: Seconds
     cold_load_excess: Annotated[float, Meta(ge=1, le=10)]
-    endpoint_heartbeat_ms: Millis = 1000
+    endpoint_heartbeat_ms: Milliseconds = 1000
     quota_window_s: Seconds = 10.0
     quota_excess_share: Annotated[float, Meta(ge=0, le=10)] = 0.0
     quota_slack: NotNegative = 0.0
@@ -140,7 +140,7 @@
 
 
 class EntrySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All sections of an entry daemon's file."""
+    """All sections of an entry daemon's settings file."""
 
     daemon: DaemonSection
     platform: PlatformSection
@@ -149,7 +149,7 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All sections of a gateway's file."""
+    """All sections of a gateway's settings file."""
 
     daemon: DaemonSection
     platform: PlatformSection
@@ -159,7 +159,7 @@
 
 
 class DirectorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All sections of a director's file."""
+    """All sections of a director's settings file."""
 
     daemon: DaemonSection
     platform: PlatformSection
@@ -169,30 +169,30 @@
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All sections of the operators' tool's file."""
+    """All sections of the settings file of the command line tool."""
 
     platform: PlatformSection
 
 
 def load_settings(path: Path, kind: type[SettingsT]) -> SettingsT:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     path : Path
         The INI file.
     kind : type
-        The struct whose fields are the sections.
+        The msgspec struct type whose fields are the sections.
 
     Returns
     -------
     SettingsT
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     SettingsError
-        With every problem found, one a line, each with its place.
+        With all problems found, one per line, each with its location.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -208,7 +208,7 @@
 def decode_settings(
     text: str, file: str, kind: type[SettingsT]
 ) -> tuple[SettingsT | None, list[Problem]]:
-    """Check settings text; return the struct or the problems."""
+    """Validate settings text; return the struct, or None, and the problems."""
     ini = read_ini(text, file)
     problems = list(ini.problems)
     fields = {f.name: f for f in msgspec.structs.fields(kind)}
@@ -219,8 +219,8 @@
             message = f"unknown section; known here: {known}"
             problems.append(Problem(file, section.line, section.name, "", message))
             continue
-        value, faults = decode_section(section, fields[section.name].type, file)
-        problems += faults
+        value, found = decode_section(section, fields[section.name].type, file)
+        problems += found
         values[section.name] = value
     present = {section.name for section in ini.sections}
     for name, field in fields.items():
@@ -232,7 +232,7 @@
 
 
 def describe_settings(settings: msgspec.Struct) -> str:
-    """Return the settings in force as INI text; secrets are masked."""
+    """Return settings as INI text with secrets masked."""
     lines: list[str] = []
     for section_name, section in msgspec.structs.asdict(settings).items():
         lines.append(f"[{section_name}]")
--- a/chutelink/startup.py
+++ b/chutelink/startup.py
@@ -1,7 +1,7 @@
-"""What a daemon does first: its command line and its settings.
+"""Command line and settings of a daemon.
 
-Imports little, so that a program can act on its settings before it imports the
-rest, which takes most of the time of a start.
+This module has few imports, so that a program can act on its settings before it
+imports the rest. Imports take most of a program's startup time.
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
 EXIT_USAGE = 2
 
 
-class Start(msgspec.Struct, Generic[SettingsT], frozen=True):
-    """A daemon's settings, and the file that they are read from again."""
+class StartupContext(msgspec.Struct, Generic[SettingsT], frozen=True):
+    """A daemon's settings and the file from which they can be reloaded."""
 
     program: str
     path: Path
     settings: SettingsT
 
-    def reread(self) -> SettingsT:
-        """Return the settings as the file says now.
+    def reload_settings(self) -> SettingsT:
+        """Return the current settings of the file.
 
         Raises
         ------
         SettingsError
-            The file is missing or has faults.
+            The file is missing or invalid.
         """
         return load_settings(self.path, type(self.settings))
 
 
 def prepare_start(
     program: str, description: str, kind: type[SettingsT]
-) -> Start[SettingsT]:
+) -> StartupContext[SettingsT]:
     """Parse the command line and check the settings.
 
     Raises
     ------
     SystemExit
-        With 2 for bad settings, with 0 when they were only to be checked.
+        With code 2 for invalid settings, with code 0 after ``--check``.
     """
     args = _parse_arguments(program, description)
     path = args.settings or Path(os.environ.get(args.settings_env, ""))
@@ -62,7 +62,7 @@
     if args.check:
         print(describe_settings(settings))
         raise SystemExit(EXIT_OK)
-    return Start(program, path, settings)
+    return StartupContext(program, path, settings)
 
 
 def _parse_arguments(program: str, description: str) -> argparse.Namespace:
@@ -70,7 +70,9 @@
     source = parser.add_mutually_exclusive_group(required=True)
     source.add_argument("--settings", type=Path, help="INI file")
     source.add_argument(
-        "--settings-env", metavar="NAME", help="variable that holds the file's path"
+        "--settings-env",
+        metavar="NAME",
+        help="environment variable with the file's path",
     )
     parser.add_argument(
         "--check", action="store_true", help="print the settings in force and exit"
--- a/chutelink/trace_export.py
+++ b/chutelink/trace_export.py
@@ -1,6 +1,7 @@
-"""Spans go through a bounded queue on the loop to OTLP over HTTP.
+"""Export of trace spans as OTLP over HTTP, through a bounded queue.
 
-Imported by daemons that export spans: the library takes 25 ms of a start's 0.4 s.
+Only imported by daemons that export spans, because importing the OpenTelemetry SDK
+takes 25 ms of a startup of 0.4 s.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 
 
 class SpanQueue(SpanProcessor):
-    """Keeps ended spans until they are exported; the oldest give way."""
+    """Queues ended spans for export; drops the oldest when it is full."""
 
     def __init__(self, metrics: Metrics) -> None:
         self.spans: deque[ReadableSpan] = deque()
         self._metrics = metrics
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Queue a span that has ended."""
+        """Queue an ended span."""
         if len(self.spans) >= MAX_QUEUED_SPANS:
             self.spans.popleft()
             self._metrics.spans_dropped.inc({})
@@ -39,7 +40,7 @@
 
 
 class SpanExporter(Service):
-    """Sends queued spans to a collector now and then."""
+    """Periodically sends queued spans to a collector."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
             await self.async_flush()
 
     async def async_flush(self) -> None:
-        """Send what is queued; a collector that is away loses these spans."""
+        """Send the queued spans; they are lost if the collector can't be reached."""
         if not self._queue.spans:
             return
         spans = list(self._queue.spans)
@@ -79,7 +80,7 @@
 
 
 def make_tracer(program: str, daemon_id: str, queue: SpanQueue) -> Tracer:
-    """Return a tracer whose spans are queued when they have ended."""
+    """Return a tracer that queues its spans when they end."""
     resource = Resource({"service.name": program, "service.instance.id": daemon_id})
     provider = TracerProvider(
         sampler=ParentBased(ALWAYS_ON), resource=resource, shutdown_on_exit=False
@@ -89,7 +90,7 @@
 
 
 def encode_spans(spans: list[ReadableSpan]) -> dict:
-    """Return spans in OTLP's JSON form."""
+    """Encode spans in the OTLP JSON format."""
     if not spans:
         return {"resourceSpans": []}
     resource = [
--- a/chutelink/tracing.py
+++ b/chutelink/tracing.py
@@ -1,4 +1,4 @@
-"""Trace context of calls; spans are kept and sent by ``trace_export``."""
+"""Propagation of trace context; spans are exported by ``trace_export``."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
 
 
 def inject_context(span: Span, headers: dict[str, str]) -> None:
-    """Put a span's context into the headers of a call."""
+    """Add a span's context to the headers of a request."""
     _PROPAGATOR.inject(headers, context=trace.set_span_in_context(span))
