--- a/chutelink/core.py
+++ b/chutelink/core.py
@@ -28,7 +28,7 @@
 
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
 MAX_CONNECTIONS_PER_HOST = 0
-"""0 means unlimited to aiohttp."""
+"""0 disables the limit of aiohttp."""
 CLOSE_POLL_S = 0.05
 
 
--- a/chutelink/ini.py
+++ b/chutelink/ini.py
@@ -142,7 +142,7 @@
     values: dict[str, object] = dict(extra)
     for key, entry in section.entries.items():
         if key not in known:
-            message = f"unknown key; known here: {', '.join(known)}"
+            message = f"unknown key; known keys: {', '.join(known)}"
             problems.append(Problem(file, entry.line, section.name, key, message))
             continue
         value, error_text = _convert(entry.value, fields[key].type)
--- a/chutelink/platform/configuration.py
+++ b/chutelink/platform/configuration.py
@@ -101,7 +101,7 @@
 
 
 class _WireService(msgspec.Struct):
-    """A service and the connection limit of its endpoints."""
+    """A service; ``engine`` is None unless its endpoints are engines."""
 
     name: str
     health_path: str = "/health"
--- a/chutelink/settings.py
+++ b/chutelink/settings.py
@@ -216,7 +216,7 @@
     for section in ini.sections:
         if section.name not in fields:
             known = ", ".join(sorted(fields))
-            message = f"unknown section; known here: {known}"
+            message = f"unknown section; known sections: {known}"
             problems.append(Problem(file, section.line, section.name, "", message))
             continue
         value, found = decode_section(section, fields[section.name].type, file)
