--- a/bench/account.py
+++ b/bench/account.py
@@ -1,4 +1,4 @@
-"""Where requests were lost, from the logs of entry daemons."""
+"""Reports why requests failed, from the logs of entry daemons."""
 
 from __future__ import annotations
 
@@ -12,49 +12,49 @@
 import msgspec
 
 WINDOW_S = 2.0
-"""Lengths of the windows of the table over time."""
-MOST_ROWS = 12
-FIRST_FAILURE = 400
-FIRST_ERROR = 500
-EMPTY = ("", "None", '""')
+"""Width of the time buckets in the table and the plot."""
+MAX_ROWS = 12
+FIRST_ERROR_STATUS = 400
+FIRST_SERVER_ERROR_STATUS = 500
+EMPTY_VALUES = ("", "None", '""')
 _FIELD = re.compile(r'(\w+)=("[^"]*"|\S*)')
 
 
-class Loss(Enum):
+class FailureReason(Enum):
     """Why a request was not answered in time."""
 
-    FIRST_LATE = "first event late at an endpoint"
-    WAITED_LATE = "late for waiting for its model"
-    PAUSED = "pause too long"
-    LATE = "answer late"
-    MODEL_ABSENT = "model not loaded"
+    FIRST_EVENT_LATE = "first event late at an endpoint"
+    LATE_AFTER_MODEL_WAIT = "late for waiting for its model"
+    PAUSE_TOO_LONG = "pause too long"
+    ANSWER_LATE = "answer late"
+    MODEL_NOT_LOADED = "model not loaded"
     MODEL_LOADING = "model being loaded"
-    ADAPTER_ABSENT = "adapter not there"
-    BUSY = "endpoints busy"
-    NOT_TAKEN = "no endpoint took it"
-    STOPPING = "daemon stopping or starting"
-    LEFT_HELD = "caller left while held"
-    LEFT_AT_ENDPOINT = "caller left while at an endpoint"
-    CUT = "cut, or without an answer"
+    ADAPTER_NOT_LOADED = "adapter not there"
+    ENDPOINTS_BUSY = "endpoints busy"
+    NOT_ACCEPTED = "no endpoint took it"
+    DAEMON_STOPPING = "daemon stopping or starting"
+    CALLER_LEFT_WHILE_HELD = "caller left while held"
+    CALLER_LEFT_AT_ENDPOINT = "caller left while at an endpoint"
+    CUT_OFF = "cut, or without an answer"
     ENDPOINT_ERROR = "endpoint's own error"
-    OTHER = "other refusal"
-
-
-REFUSALS = {
-    "the model is not loaded": Loss.MODEL_ABSENT,
-    "the model is being loaded": Loss.MODEL_LOADING,
-    "the adapter is not loaded": Loss.ADAPTER_ABSENT,
-    "the adapter is being loaded": Loss.ADAPTER_ABSENT,
-    "endpoints are busy": Loss.BUSY,
-    "no endpoint took the request": Loss.NOT_TAKEN,
-    "no endpoint is ready": Loss.NOT_TAKEN,
-    "this daemon is stopping": Loss.STOPPING,
-    "no configuration yet": Loss.STOPPING,
+    OTHER_REFUSAL = "other refusal"
+
+
+REFUSAL_REASONS = {
+    "the model is not loaded": FailureReason.MODEL_NOT_LOADED,
+    "the model is being loaded": FailureReason.MODEL_LOADING,
+    "the adapter is not loaded": FailureReason.ADAPTER_NOT_LOADED,
+    "the adapter is being loaded": FailureReason.ADAPTER_NOT_LOADED,
+    "endpoints are busy": FailureReason.ENDPOINTS_BUSY,
+    "no endpoint took the request": FailureReason.NOT_ACCEPTED,
+    "no endpoint is ready": FailureReason.NOT_ACCEPTED,
+    "this daemon is stopping": FailureReason.DAEMON_STOPPING,
+    "no configuration yet": FailureReason.DAEMON_STOPPING,
 }
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One event of a daemon; ``at_s`` is on the wall clock."""
+    """One log event of a daemon; ``at_s`` is wall-clock time."""
 
     at_s: float
     daemon: str
@@ -62,38 +62,41 @@
     fields: dict[str, str]
 
     def get(self, name: str) -> str:
-        """Return a field, empty where there is none."""
+        """Return a field, or an empty string if it is absent."""
         value = self.fields.get(name, "").strip('"')
-        return "" if value in EMPTY else value
+        return "" if value in EMPTY_VALUES else value
 
     def number(self, name: str) -> float | None:
-        """Return a field as a number, None where there is none."""
+        """Return a field as a number, or None if it is absent."""
         value = self.get(name)
         return float(value) if value else None
 
 
-class LostRequest(msgspec.Struct, frozen=True):
-    """A request that was not answered in time; ``at_s`` is when it came."""
+class FailedRequest(msgspec.Struct, frozen=True):
+    """A request that was not answered in time; ``at_s`` is its arrival time."""
 
     at_s: float
-    loss: Loss
+    reason: FailureReason
     objective_s: float
     model: str
     adapter: str
     endpoint: str
 
 
-class Account(msgspec.Struct):
-    """What the logs of a play show, in seconds from its first request."""
+class LossReport(msgspec.Struct):
+    """Results of a test run; times are in seconds from its first request."""
 
     answered: int = 0
-    lost: list[LostRequest] = []
+    failures: list[FailedRequest] = []
     changes: list[tuple[float, str, str, str]] = []
-    """When, endpoint, what was loaded, why."""
+    """Time, endpoint, loaded artifact and reason of each placement change."""
 
 
 def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Read log lines; what stands before ``time=`` on a line is left out."""
+    """Parse log lines.
+
+    The last word before ``time=`` on a line is the daemon's name.
+    """
     for line in lines:
         start = line.find("time=")
         if start < 0 or " event=" not in line:
@@ -105,37 +108,43 @@
         yield LogLine(at.timestamp(), daemon, fields.pop("event"), fields)
 
 
-def make_account(lines: Iterable[str]) -> Account:
-    """Add up what became of the requests."""
-    account = Account()
-    waited: set[str] = set()
-    begin_s: float | None = None
+def build_report(lines: Iterable[str]) -> LossReport:
+    """Classify the requests and collect the placement changes."""
+    report = LossReport()
+    waited_for_model: set[str] = set()
+    first_arrival_s: float | None = None
     for line in parse_lines(lines):
         if line.event == "model_waited_for":
-            waited.add(line.get("request"))
+            waited_for_model.add(line.get("request"))
         elif line.event == "placement_begun":
-            what = "/".join(filter(None, (line.get("model"), line.get("adapter"))))
-            account.changes.append(
-                (line.at_s, line.get("endpoint"), what, line.get("reason"))
+            artifact = "/".join(filter(None, (line.get("model"), line.get("adapter"))))
+            report.changes.append(
+                (line.at_s, line.get("endpoint"), artifact, line.get("reason"))
             )
         elif line.event == "request" and line.get("route"):
             at_s = line.at_s - (line.number("took_s") or 0.0)
-            begin_s = at_s if begin_s is None else min(begin_s, at_s)
-            _count(account, line, at_s, waited)
-    _shift(account, begin_s or 0.0)
-    return account
+            first_arrival_s = (
+                at_s if first_arrival_s is None else min(first_arrival_s, at_s)
+            )
+            _add_request(report, line, at_s, waited_for_model)
+    _make_times_relative(report, first_arrival_s or 0.0)
+    return report
 
 
-def _count(account: Account, line: LogLine, at_s: float, waited: set[str]) -> None:
-    account.answered += int(line.number("good_left_out") or 0)
-    loss = classify(line, is_waited=line.get("request") in waited)
-    if loss is None:
-        account.answered += 1
+def _add_request(
+    report: LossReport, line: LogLine, at_s: float, waited_for_model: set[str]
+) -> None:
+    report.answered += int(line.number("good_left_out") or 0)
+    reason = classify(
+        line, has_waited_for_model=line.get("request") in waited_for_model
+    )
+    if reason is None:
+        report.answered += 1
         return
-    account.lost.append(
-        LostRequest(
+    report.failures.append(
+        FailedRequest(
             at_s,
-            loss,
+            reason,
             line.number("objective_s") or 0.0,
             line.get("model"),
             line.get("adapter"),
@@ -144,80 +153,91 @@
     )
 
 
-def _shift(account: Account, begin_s: float) -> None:
-    """Count times from the first request."""
-    account.lost = [
-        msgspec.structs.replace(lost, at_s=lost.at_s - begin_s) for lost in account.lost
+def _make_times_relative(report: LossReport, first_arrival_s: float) -> None:
+    """Convert wall-clock times to seconds since the first request."""
+    report.failures = [
+        msgspec.structs.replace(failed, at_s=failed.at_s - first_arrival_s)
+        for failed in report.failures
     ]
-    account.changes = [(at - begin_s, *rest) for at, *rest in account.changes]
+    report.changes = [(at - first_arrival_s, *rest) for at, *rest in report.changes]
 
 
-def classify(line: LogLine, *, is_waited: bool) -> Loss | None:
-    """Return why a request was lost, None for one that was answered in time."""
+def classify(line: LogLine, *, has_waited_for_model: bool) -> FailureReason | None:
+    """Return why a request failed, or None if it was answered in time."""
     outcome = line.get("outcome")
     if outcome == "caller_gone":
-        return Loss.LEFT_AT_ENDPOINT if line.get("endpoints") else Loss.LEFT_HELD
+        return (
+            FailureReason.CALLER_LEFT_AT_ENDPOINT
+            if line.get("endpoints")
+            else FailureReason.CALLER_LEFT_WHILE_HELD
+        )
     if outcome == "answered":
-        return _classify_answer(line, is_waited=is_waited)
+        return _classify_answer(line, has_waited_for_model=has_waited_for_model)
     if outcome == "not-run":
-        return REFUSALS.get(line.get("reason"), Loss.OTHER)
-    return Loss.CUT
+        return REFUSAL_REASONS.get(line.get("reason"), FailureReason.OTHER_REFUSAL)
+    return FailureReason.CUT_OFF
 
 
-def _classify_answer(line: LogLine, *, is_waited: bool) -> Loss | None:
+def _classify_answer(
+    line: LogLine, *, has_waited_for_model: bool
+) -> FailureReason | None:
     status = int(line.number("status") or 0)
-    if status >= FIRST_ERROR:
-        return Loss.ENDPOINT_ERROR
-    if status >= FIRST_FAILURE:
-        return Loss.OTHER
+    if status >= FIRST_SERVER_ERROR_STATUS:
+        return FailureReason.ENDPOINT_ERROR
+    if status >= FIRST_ERROR_STATUS:
+        return FailureReason.OTHER_REFUSAL
     objective_s = line.number("objective_s") or 0.0
     first_s = line.number("first_event_s")
     if first_s is None:
         is_late = (line.number("took_s") or 0.0) > objective_s > 0
-        return Loss.LATE if is_late else None
+        return FailureReason.ANSWER_LATE if is_late else None
     if first_s > objective_s:
-        return Loss.WAITED_LATE if is_waited else Loss.FIRST_LATE
+        return (
+            FailureReason.LATE_AFTER_MODEL_WAIT
+            if has_waited_for_model
+            else FailureReason.FIRST_EVENT_LATE
+        )
     max_pause_s = line.number("max_pause_s") or 0.0
     if (line.number("longest_pause_s") or 0.0) > max_pause_s > 0:
-        return Loss.PAUSED
+        return FailureReason.PAUSE_TOO_LONG
     return None
 
 
 def _table(title: str, counts: dict[str, Counter[str]], columns: list[str]) -> str:
-    """Return a Markdown table, the rows with most losses first."""
-    rows = sorted(counts.items(), key=lambda item: -item[1].total())[:MOST_ROWS]
+    """Return a Markdown table, sorted by the number of failed requests."""
+    rows = sorted(counts.items(), key=lambda item: -item[1].total())[:MAX_ROWS]
     lines = [f"| {title} | lost | " + " | ".join(columns) + " |"]
     lines.append("| --- " * (len(columns) + 2) + "|")
-    for name, by_loss in rows:
-        cells = " | ".join(str(by_loss[column]) for column in columns)
-        lines.append(f"| {name} | {by_loss.total()} | {cells} |")
+    for name, by_reason in rows:
+        cells = " | ".join(str(by_reason[column]) for column in columns)
+        lines.append(f"| {name} | {by_reason.total()} | {cells} |")
     return "\n".join(lines)
 
 
-def render(account: Account) -> str:
-    """Return the account as Markdown."""
-    total = Counter(lost.loss.value for lost in account.lost)
-    columns = [loss for loss, _ in total.most_common()]
+def render(report: LossReport) -> str:
+    """Return the report as Markdown."""
+    total = Counter(failed.reason.value for failed in report.failures)
+    columns = [reason for reason, _ in total.most_common()]
     keys = {
-        "objective": lambda lost: f"{lost.objective_s:g} s",
-        "model": lambda lost: lost.model or "-",
-        "endpoint": lambda lost: lost.endpoint or "-",
-        "from second": lambda lost: f"{lost.at_s // WINDOW_S * WINDOW_S:g}",
+        "objective": lambda failed: f"{failed.objective_s:g} s",
+        "model": lambda failed: failed.model or "-",
+        "endpoint": lambda failed: failed.endpoint or "-",
+        "from second": lambda failed: f"{failed.at_s // WINDOW_S * WINDOW_S:g}",
     }
     parts = [
-        f"{account.answered} answered in time, {len(account.lost)} lost, "
-        f"{len(account.changes)} changes of placement"
+        f"{report.answered} answered in time, {len(report.failures)} lost, "
+        f"{len(report.changes)} changes of placement"
     ]
     for title, key in keys.items():
         counts: dict[str, Counter[str]] = {}
-        for lost in account.lost:
-            counts.setdefault(key(lost), Counter())[lost.loss.value] += 1
+        for failed in report.failures:
+            counts.setdefault(key(failed), Counter())[failed.reason.value] += 1
         parts.append(_table(title, counts, columns))
     return "\n\n".join(parts)
 
 
-def plot(account: Account, path: str) -> None:
-    """Write losses over the day, with the changes of placement under them."""
+def plot(report: LossReport, path: str) -> None:
+    """Plot failed requests over time above the placement changes."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -226,21 +246,25 @@
     figure, (upper, lower) = pyplot.subplots(
         2, 1, sharex=True, figsize=(12, 7), height_ratios=(3, 2)
     )
-    losses = [loss for loss, _ in Counter(x.loss for x in account.lost).most_common()]
-    times = [[x.at_s for x in account.lost if x.loss is loss] for loss in losses]
-    last_s = max((x.at_s for x in account.lost), default=0.0)
+    reasons = [
+        reason for reason, _ in Counter(x.reason for x in report.failures).most_common()
+    ]
+    times = [
+        [x.at_s for x in report.failures if x.reason is reason] for reason in reasons
+    ]
+    last_s = max((x.at_s for x in report.failures), default=0.0)
     bins = [WINDOW_S * n for n in range(int(last_s / WINDOW_S) + 2)]
-    if losses:
-        names = [loss.value for loss in losses]
+    if reasons:
+        names = [reason.value for reason in reasons]
         upper.hist(times, bins=bins, stacked=True, label=names)
         upper.legend(fontsize=7)
     upper.set_ylabel(f"requests lost in {WINDOW_S:g} s")
-    models = [change for change in account.changes if "/" not in change[2]]
+    models = [change for change in report.changes if "/" not in change[2]]
     endpoints = sorted({endpoint for _, endpoint, _, _ in models})
-    for at_s, endpoint, what, reason in models:
+    for at_s, endpoint, artifact, reason in models:
         row = endpoints.index(endpoint)
         lower.plot([at_s], [row], "|", color="black", markersize=12)
-        lower.annotate(f"{what[:6]} {reason}", (at_s, row), fontsize=5, rotation=30)
+        lower.annotate(f"{artifact[:6]} {reason}", (at_s, row), fontsize=5, rotation=30)
     lower.set_yticks(range(len(endpoints)), endpoints, fontsize=6)
     lower.set_xlabel("seconds from the first request")
     figure.tight_layout()
@@ -248,11 +272,11 @@
 
 
 def run_account(paths: list[str], plot_path: str) -> None:
-    """Print the account of some log files, and write its plot."""
+    """Print the report of some log files, and optionally write its plot."""
     lines: list[str] = []
     for path in paths:
         lines += Path(path).read_text(errors="replace").splitlines()
-    account = make_account(lines)
-    print(render(account))
+    report = build_report(lines)
+    print(render(report))
     if plot_path:
-        plot(account, plot_path)
+        plot(report, plot_path)
--- a/tests/bench/test_account.py
+++ b/tests/bench/test_account.py
@@ -1,10 +1,10 @@
-"""The account of what was lost, from log lines."""
+"""Tests of the failure report that is built from log lines."""
 
 from __future__ import annotations
 
 import pytest
 
-from bench.account import Loss, make_account, render
+from bench.account import FailureReason, build_report, render
 
 START = "time=2026-01-01T00:00:0{second}Z level=INFO channel=chutelink-entry event="
 STREAM = (
@@ -30,46 +30,56 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "loss"),
+    ("fields", "reason"),
     [
-        ({"first": 0.5}, Loss.FIRST_LATE),
-        ({"pause": 0.3}, Loss.PAUSED),
-        ({"outcome": "caller_gone"}, Loss.LEFT_AT_ENDPOINT),
-        ({"outcome": "caller_gone", "endpoints": '""'}, Loss.LEFT_HELD),
-        ({"outcome": "cut_at_stop"}, Loss.CUT),
-        ({"outcome": "unknown", "status": 504}, Loss.CUT),
-        ({"status": 500}, Loss.ENDPOINT_ERROR),
+        ({"first": 0.5}, FailureReason.FIRST_EVENT_LATE),
+        ({"pause": 0.3}, FailureReason.PAUSE_TOO_LONG),
+        ({"outcome": "caller_gone"}, FailureReason.CALLER_LEFT_AT_ENDPOINT),
+        (
+            {"outcome": "caller_gone", "endpoints": '""'},
+            FailureReason.CALLER_LEFT_WHILE_HELD,
+        ),
+        ({"outcome": "cut_at_stop"}, FailureReason.CUT_OFF),
+        ({"outcome": "unknown", "status": 504}, FailureReason.CUT_OFF),
+        ({"status": 500}, FailureReason.ENDPOINT_ERROR),
         (
             {"outcome": "not-run", "reason": '"the adapter is not loaded"'},
-            Loss.ADAPTER_ABSENT,
+            FailureReason.ADAPTER_NOT_LOADED,
+        ),
+        (
+            {"outcome": "not-run", "reason": '"something new"'},
+            FailureReason.OTHER_REFUSAL,
         ),
-        ({"outcome": "not-run", "reason": '"something new"'}, Loss.OTHER),
     ],
 )
-def test_each_loss_has_its_reason(fields, loss):
-    account = make_account([line(), line(2, **fields)])
-    assert account.answered == 1
-    assert [(lost.loss, lost.model) for lost in account.lost] == [(loss, "m0")]
-    assert account.lost[0].at_s == pytest.approx(1.0)
-    assert loss.value in render(account)
+def test_failed_requests_are_classified(fields, reason):
+    report = build_report([line(), line(2, **fields)])
+    assert report.answered == 1
+    assert [(failed.reason, failed.model) for failed in report.failures] == [
+        (reason, "m0")
+    ]
+    assert report.failures[0].at_s == pytest.approx(1.0)
+    assert reason.value in render(report)
 
 
-def test_a_wait_for_a_model_is_told_from_a_slow_endpoint():
-    waited = START.format(second=1) + "model_waited_for request=q1 waited_s=0.4"
-    account = make_account([waited, line(first=0.5)])
-    assert account.lost[0].loss is Loss.WAITED_LATE
+def test_late_answer_after_model_wait_is_not_blamed_on_endpoint():
+    waited_for_model = (
+        START.format(second=1) + "model_waited_for request=q1 waited_s=0.4"
+    )
+    report = build_report([waited_for_model, line(first=0.5)])
+    assert report.failures[0].reason is FailureReason.LATE_AFTER_MODEL_WAIT
 
 
-def test_answers_that_were_left_out_of_the_log_are_counted():
-    account = make_account([line() + " good_left_out=7"])
-    assert account.answered == 8
+def test_answers_omitted_from_the_log_are_counted():
+    report = build_report([line() + " good_left_out=7"])
+    assert report.answered == 8
 
 
-def test_changes_of_placement_are_kept_with_their_time():
+def test_placement_changes_are_reported_with_relative_time():
     change = START.format(second=3) + (
         'placement_begun endpoint=i-1 model=m1 adapter="" reason=busy'
     )
-    account = make_account([line(2), change])
-    at_s, endpoint, what, reason = account.changes[0]
-    assert (endpoint, what, reason) == ("i-1", "m1", "busy")
+    report = build_report([line(2), change])
+    at_s, endpoint, artifact, reason = report.changes[0]
+    assert (endpoint, artifact, reason) == ("i-1", "m1", "busy")
     assert at_s == pytest.approx(1.5)
