--- a/bench/quota_ways.py
+++ b/bench/quota_strategies.py
@@ -1,4 +1,4 @@
-"""Ways to keep a quota over a fleet, for the model in ``quotas``."""
+"""Strategies that enforce a quota across a fleet, for the simulation in ``quotas``."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 from chutelink.customers.model import Quota
 
 BOUNDS = QuotaBounds(window_s=8.0, excess_share=0.1, slack=110_000.0)
-"""Those of the users' deployment with quotas."""
-TELL_PERIOD_S = 0.2
-COUNTER_AWAY_S = 3.0
-"""How long nobody counts after the counting daemon was lost: a lease runs out."""
+"""The settings of the users' deployment that has quotas."""
+BROADCAST_PERIOD_S = 0.2
+COUNTER_FAILOVER_S = 3.0
+"""Time until a lost counting daemon is replaced: its lease must expire first."""
 
 
 class Fleet(msgspec.Struct, eq=False):
-    """Which daemons are up, and which hear each other."""
+    """A fleet of daemons, and which of them can't be reached by the others."""
 
     count: int
-    cut: frozenset[int] = frozenset()
+    partitioned: frozenset[int] = frozenset()
     messages: int = 0
 
-    def hears(self, one: int, other: int) -> bool:
-        """Return whether a message between two arrives."""
-        return one not in self.cut and other not in self.cut
+    def can_reach(self, sender: int, receiver: int) -> bool:
+        """Return whether a message from one daemon reaches another."""
+        return sender not in self.partitioned and receiver not in self.partitioned
 
 
-class QuotaWay(ABC):
+class QuotaStrategy(ABC):
     """Decides which requests of one customer may run.
 
     Parameters
     ----------
     quota : Quota
-        The customer's.
+        The customer's quota.
     fleet : Fleet
-        The daemons.
+        The daemons that serve the customer.
     rng : random.Random
-        Chooses whom to ask.
+        Chooses the daemons to borrow from.
     """
 
     def __init__(self, quota: Quota, fleet: Fleet, rng: random.Random) -> None:
@@ -57,33 +57,33 @@
 
     @abstractmethod
     def admit(self, daemon: int, cost: float, now_s: float) -> bool:
-        """Return whether a request at a daemon may run."""
+        """Return whether a daemon admits a request."""
 
     @abstractmethod
     def restart_all(self, now_s: float) -> None:
-        """Forget what all daemons knew."""
+        """Discard the state of all daemons, as a restart of the whole fleet does."""
 
 
-class FixedShares(QuotaWay):
-    """Each daemon has an even part and tells nobody."""
+class FixedShares(QuotaStrategy):
+    """Each daemon enforces an equal share, without communication."""
 
     def __init__(self, quota: Quota, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(quota, fleet, rng)
-        self.buckets = self._make_all(0.0)
+        self.buckets = self._make_buckets(0.0)
         for bucket in self.buckets:
             bucket.fill()
 
-    def _holders(self) -> int:
-        """Return how many daemons share the quota, the first of them."""
+    def _holder_count(self) -> int:
+        """Return how many daemons, counted from the first, share the quota."""
         return self.fleet.count
 
-    def _make_all(self, now_s: float) -> list[ShareBucket]:
-        holders = self._holders()
+    def _make_buckets(self, now_s: float) -> list[ShareBucket]:
+        holders = self._holder_count()
         shares = [1 / holders * (n < holders) for n in range(self.fleet.count)]
         return [ShareBucket(self.quota, BOUNDS, share, now_s) for share in shares]
 
     def admit(self, daemon: int, cost: float, now_s: float) -> bool:
-        """Return whether the daemon's own part has enough."""
+        """Return whether the daemon's own share covers the cost."""
         bucket = self.buckets[daemon]
         if bucket.take(cost, now_s):
             return True
@@ -91,24 +91,24 @@
         return False
 
     def restart_all(self, now_s: float) -> None:
-        """Begin as processes do that follow others which began long before."""
-        self.buckets = self._make_all(now_s)
+        """Restart all daemons, as successors of processes that had run for long."""
+        self.buckets = self._make_buckets(now_s)
         for bucket in self.buckets:
             bucket.start_afresh(now_s)
 
 
 class LentShares(FixedShares):
-    """Daemons lend each other what they can spare, as the product does."""
+    """Daemons lend each other unused quota, as the entry daemons do."""
 
     def __init__(self, quota: Quota, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(quota, fleet, rng)
-        self._ask_again_s = [0.0] * fleet.count
+        self._next_borrow_s = [0.0] * fleet.count
 
-    def _holders(self) -> int:
+    def _holder_count(self) -> int:
         return min(MAX_HOLDERS, self.fleet.count)
 
     def admit(self, daemon: int, cost: float, now_s: float) -> bool:
-        """Return whether the own part, or what others lend, is enough."""
+        """Return whether the own share and loans from others cover the cost."""
         bucket = self.buckets[daemon]
         if bucket.take(cost, now_s):
             return True
@@ -119,82 +119,85 @@
         return False
 
     def _borrow(self, daemon: int, needed: float, now_s: float) -> float:
-        if now_s < self._ask_again_s[daemon]:
+        if now_s < self._next_borrow_s[daemon]:
             return 0.0
-        others = [number for number in range(self._holders()) if number != daemon]
+        others = [number for number in range(self._holder_count()) if number != daemon]
         lenders = self.rng.sample(others, min(MAX_LENDERS, len(others)))
         amount = needed * min(1.0, ASKED_PARTS / len(lenders))
         lent = 0.0
         for lender in lenders:
             self.fleet.messages += 2
-            if self.fleet.hears(daemon, lender):
+            if self.fleet.can_reach(daemon, lender):
                 lent += self.buckets[lender].lend(amount, LENT_SHARE, now_s)
         if lent < needed:
-            self._ask_again_s[daemon] = now_s + LEND_PAUSE_S
+            self._next_borrow_s[daemon] = now_s + LEND_PAUSE_S
         return lent
 
 
-class ToldSums(QuotaWay):
-    """Each daemon admits while all windows together, as it last heard, have room."""
+class ToldSums(QuotaStrategy):
+    """Each daemon admits while the broadcast window totals of all are within the quota.
+
+    The totals of other daemons are as old as their last broadcast that arrived.
+    """
 
     def __init__(self, quota: Quota, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(quota, fleet, rng)
         self.restart_all(0.0)
 
     def restart_all(self, now_s: float) -> None:
-        """Forget all windows."""
+        """Discard the windows and the totals received from other daemons."""
         count = self.fleet.count
         self.windows = [deque() for _ in range(count)]
-        self.sums = [0.0] * count
-        self.told = [[0.0] * count for _ in range(count)]
-        self.told_s = now_s
+        self.window_totals = [0.0] * count
+        self.reported = [[0.0] * count for _ in range(count)]
+        self.broadcast_s = now_s
 
-    def _tell(self, now_s: float) -> None:
-        if now_s - self.told_s < TELL_PERIOD_S:
+    def _broadcast(self, now_s: float) -> None:
+        if now_s - self.broadcast_s < BROADCAST_PERIOD_S:
             return
-        self.told_s = now_s
-        for one in range(self.fleet.count):
-            self._expire(one, now_s)
-            if not self.sums[one]:
+        self.broadcast_s = now_s
+        for sender in range(self.fleet.count):
+            self._expire(sender, now_s)
+            if not self.window_totals[sender]:
                 continue
-            for other in range(self.fleet.count):
-                self.fleet.messages += one != other
-                if self.fleet.hears(one, other):
-                    self.told[other][one] = self.sums[one]
+            for receiver in range(self.fleet.count):
+                self.fleet.messages += sender != receiver
+                if self.fleet.can_reach(sender, receiver):
+                    self.reported[receiver][sender] = self.window_totals[sender]
 
     def _expire(self, daemon: int, now_s: float) -> None:
         window = self.windows[daemon]
         while window and window[0][0] < now_s - BOUNDS.window_s:
-            self.sums[daemon] -= window.popleft()[1]
+            self.window_totals[daemon] -= window.popleft()[1]
 
     def admit(self, daemon: int, cost: float, now_s: float) -> bool:
-        """Return whether the sum of all windows has room."""
-        self._tell(now_s)
+        """Return whether the cost fits within the quota and the sum of all windows."""
+        self._broadcast(now_s)
         self._expire(daemon, now_s)
-        told = self.told[daemon]
-        used = sum(told) - told[daemon] + self.sums[daemon]
-        owed = self.quota.rate_per_s * BOUNDS.window_s + self.quota.burst
-        if used + cost > owed:
+        reported = self.reported[daemon]
+        used = sum(reported) - reported[daemon] + self.window_totals[daemon]
+        limit = self.quota.rate_per_s * BOUNDS.window_s + self.quota.burst
+        if used + cost > limit:
             return False
         self.windows[daemon].append((now_s, cost))
-        self.sums[daemon] += cost
+        self.window_totals[daemon] += cost
         return True
 
 
-class CountingDaemon(QuotaWay):
-    """One daemon counts for all; each request asks it."""
+class CountingDaemon(QuotaStrategy):
+    """One daemon holds the only bucket, and is asked for every request."""
 
     def __init__(self, quota: Quota, fleet: Fleet, rng: random.Random) -> None:
         super().__init__(quota, fleet, rng)
-        self.away_until_s = 0.0
+        self.unavailable_until_s = 0.0
         self.bucket = ShareBucket(quota, BOUNDS, 1.0, 0.0)
         self.bucket.fill()
 
     def admit(self, daemon: int, cost: float, now_s: float) -> bool:
-        """Return what the counting daemon says, no where it can't be asked."""
+        """Return the counting daemon's decision; refuse if it can't be reached."""
         self.fleet.messages += 2
-        is_heard = daemon == 0 or self.fleet.hears(daemon, 0)
-        if not is_heard or now_s < self.away_until_s:
+        is_reachable = daemon == 0 or self.fleet.can_reach(daemon, 0)
+        if not is_reachable or now_s < self.unavailable_until_s:
             return False
         if self.bucket.take(cost, now_s):
             return True
@@ -202,6 +205,6 @@
         return False
 
     def restart_all(self, now_s: float) -> None:
-        """Count anew once a lease has run out."""
-        self.away_until_s = now_s + COUNTER_AWAY_S
+        """Start a new bucket; requests are refused until the lease has expired."""
+        self.unavailable_until_s = now_s + COUNTER_FAILOVER_S
         self.bucket = ShareBucket(self.quota, BOUNDS, 1.0, now_s)
