--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""Policies against their baselines, on the same seeds."""
+"""Compares the shipped policies with baselines on the same seeds."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
     RoutingPolicy,
 )
 
-from .virtual import Outcome, VirtualRun
+from .simulation import Outcome, Simulation
 from .workload import make_arrivals
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
-DURATION_S = 420.0
+SIMULATED_S = 420.0
 RATES_PER_S = {"opa": 14.0, "kulmaahel": 16.0}
 TIGHT_MEMORY_MB = 40_000
-"""Half of what the examples have, so that spare replicas compete for memory."""
+"""Half of the examples' memory, so that spare replicas compete for it."""
 MOVES_WEIGHTS = (0.0, 0.1, 0.2, 0.5, 1.0, 2.0, 4.0, 8.0)
-WORKERS = 6
+MAX_PROCESSES = 6
 
 
 class Case(msgspec.Struct, frozen=True):
-    """One deployment with one set of policies."""
+    """One example deployment with one set of policies."""
 
     deployment: str
     label: str
     options: dict
 
     def fleet(self) -> FleetSpec:
-        """Return the example's fleet with these options."""
+        """Return the example's fleet with these options and ``TIGHT_MEMORY_MB``."""
         text = (EXAMPLES / f"{self.deployment}.ini").read_text(encoding="utf-8")
         fleet = parse_fleet(text, self.deployment, check_memory=False).unwrap()
         options = msgspec.structs.replace(fleet.options, **self.options)
@@ -52,7 +52,10 @@
 
 
 def policy_cases(deployment: str) -> list[Case]:
-    """Return what ships and every baseline, one policy changed at a time."""
+    """Return the shipped policies, each single change of a policy, and the baselines.
+
+    The last two cases use the baseline of every policy at once.
+    """
     shipped = Case(deployment, "as shipped", {})
     options = shipped.fleet().options
     cases = [shipped]
@@ -82,8 +85,8 @@
     return cases
 
 
-def weight_cases(deployment: str) -> list[Case]:
-    """Return the shipped policies with moves weighing more and more."""
+def moves_weight_cases(deployment: str) -> list[Case]:
+    """Return the shipped policies with increasing values of ``moves_weight``."""
     return [
         Case(deployment, f"moves_weight {weight:g}", {"moves_weight": weight})
         for weight in MOVES_WEIGHTS
@@ -91,11 +94,11 @@
 
 
 def run_case(case: Case, seed: int) -> Outcome:
-    """Run one case on one seed."""
+    """Simulate one case with one seed."""
     fleet = case.fleet()
     rate_per_s = RATES_PER_S[case.deployment]
-    arrivals = make_arrivals(fleet, seed, DURATION_S, rate_per_s)
-    return VirtualRun(fleet, arrivals, seed).run()
+    arrivals = make_arrivals(fleet, seed, SIMULATED_S, rate_per_s)
+    return Simulation(fleet, arrivals, seed).run()
 
 
 def _run(job: tuple[Case, int]) -> Outcome:
@@ -103,53 +106,55 @@
 
 
 def run_all(cases: list[Case], seeds: Iterable[int]) -> dict[str, list[Outcome]]:
-    """Run all cases on all seeds, in processes of the tool's own."""
+    """Simulate all cases with all seeds, in parallel worker processes."""
     jobs = [(case, seed) for case in cases for seed in seeds]
-    with ProcessPoolExecutor(WORKERS) as pool:
+    with ProcessPoolExecutor(MAX_PROCESSES) as pool:
         outcomes = list(pool.map(_run, jobs, chunksize=2))
-    found: dict[str, list[Outcome]] = {}
+    results: dict[str, list[Outcome]] = {}
     for (case, _), outcome in zip(jobs, outcomes, strict=True):
-        found.setdefault(f"{case.deployment}: {case.label}", []).append(outcome)
-    return found
+        results.setdefault(f"{case.deployment}: {case.label}", []).append(outcome)
+    return results
 
 
-def _spread(values: list[float], digits: int) -> str:
+def _format_mean_and_deviation(values: list[float], digits: int) -> str:
     deviation = statistics.stdev(values) if len(values) > 1 else 0.0
     return f"{statistics.mean(values):.{digits}f} ± {deviation:.{digits}f}"
 
 
-def to_table(found: dict[str, list[Outcome]]) -> str:
-    """Return a Markdown table, means and standard deviations over the seeds."""
+def to_table(results: dict[str, list[Outcome]]) -> str:
+    """Return a Markdown table of means and standard deviations over the seeds."""
     lines = [
         "| case | attainment per accelerator, % | attainment, % | worst class, % "
         "| moves | refused |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for label, outcomes in found.items():
+    for label, outcomes in results.items():
         cells = [
             label,
-            _spread([o.per_accelerator for o in outcomes], 3),
-            _spread([100 * o.attainment for o in outcomes], 1),
-            _spread([100 * o.worst_class for o in outcomes], 1),
-            _spread([float(o.moves) for o in outcomes], 0),
-            _spread([float(o.refused) for o in outcomes], 0),
+            _format_mean_and_deviation(
+                [o.attainment_per_accelerator for o in outcomes], 3
+            ),
+            _format_mean_and_deviation([100 * o.attainment for o in outcomes], 1),
+            _format_mean_and_deviation([100 * o.worst_class for o in outcomes], 1),
+            _format_mean_and_deviation([float(o.moves) for o in outcomes], 0),
+            _format_mean_and_deviation([float(o.refused) for o in outcomes], 0),
         ]
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-def _write_csv(path: str, found: dict[str, list[Outcome]]) -> None:
+def _write_csv(path: str, results: dict[str, list[Outcome]]) -> None:
     with open(path, "w", newline="", encoding="utf-8") as file:
         writer = csv_module.writer(file, lineterminator="\n")
         writer.writerow(["case", "seed", "attainment", "worst_class", "moves"])
-        for label, outcomes in found.items():
+        for label, outcomes in results.items():
             for seed, outcome in enumerate(outcomes, start=1):
                 row = [label, seed, f"{outcome.attainment:.5f}"]
                 row += [f"{outcome.worst_class:.5f}", outcome.moves]
                 writer.writerow(row)
 
 
-def _write_plot(path: str, found: dict[str, list[Outcome]]) -> None:
+def _write_plot(path: str, results: dict[str, list[Outcome]]) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
@@ -157,7 +162,7 @@
 
     figure, axes = pyplot.subplots(figsize=(7, 4.5))
     for deployment in RATES_PER_S:
-        series = {k: v for k, v in found.items() if k.startswith(f"{deployment}:")}
+        series = {k: v for k, v in results.items() if k.startswith(f"{deployment}:")}
         moves = [statistics.mean(o.moves for o in v) for v in series.values()]
         shares = [
             100 * statistics.mean(o.attainment for o in v) for v in series.values()
@@ -180,15 +185,15 @@
 
 
 def run_policies(seeds: int, *, csv: str, plot: str) -> None:
-    """Run the comparison and print its table."""
-    numbers = range(1, seeds + 1)
+    """Run the comparison, print its tables and optionally write CSV and plot."""
+    seed_numbers = range(1, seeds + 1)
     for deployment in RATES_PER_S:
-        print(to_table(run_all(policy_cases(deployment), numbers)))
+        print(to_table(run_all(policy_cases(deployment), seed_numbers)))
         print()
-    cases = [case for name in RATES_PER_S for case in weight_cases(name)]
-    found = run_all(cases, numbers)
-    print(to_table(found))
+    cases = [case for name in RATES_PER_S for case in moves_weight_cases(name)]
+    results = run_all(cases, seed_numbers)
+    print(to_table(results))
     if csv:
-        _write_csv(csv, found)
+        _write_csv(csv, results)
     if plot:
-        _write_plot(plot, found)
+        _write_plot(plot, results)
--- a/bench/virtual_parts.py
+++ b/bench/simulated_components.py
@@ -1,4 +1,4 @@
-"""Fakes that a run in virtual time is made of: engines, gateways, requests."""
+"""Simulated engines, gateways and requests for runs in virtual time."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 
 
 class Engine:
-    """An engine: slots, batches that slow down, and a prefix cache."""
+    """An engine with slots, a load-dependent step time and a prefix cache."""
 
     def __init__(self, spec: EndpointSpec) -> None:
         self.spec = spec
         self.row = LedgerRow(spec.name, spec.accelerators, spec.memory_mb)
         self.running = 0
         self.waiting: list = []
-        self.by_model: dict[str, int] = {}
+        self.requests_by_model: dict[str, int] = {}
         self.cache: OrderedDict[str, None] = OrderedDict()
         self.reports: list[tuple[float, EndpointReport]] = []
 
     def step_s(self) -> float:
-        """Return how long a token takes with what runs now."""
+        """Return the time per token at the current number of running requests."""
         return STEP_S * (1 + self.running / self.spec.slots)
 
     def prefill_s(self, arrival: Arrival) -> float:
-        """Return how long a prompt is read, and keep its beginnings."""
+        """Return the prefill time of a prompt, and add its prefixes to the cache."""
         cached = sum(prefix in self.cache for prefix in arrival.prefixes)
-        share = 1.0 - cached / (len(arrival.prefixes) + 1)
+        uncached_share = 1.0 - cached / (len(arrival.prefixes) + 1)
         for prefix in arrival.prefixes:
             self.cache[prefix] = None
             self.cache.move_to_end(prefix)
         while len(self.cache) > CACHED_PREFIXES:
             self.cache.popitem(last=False)
-        return arrival.prompt_tokens * share / PREFILL_TOKENS_PER_S
+        return arrival.prompt_tokens * uncached_share / PREFILL_TOKENS_PER_S
 
     def report(self) -> EndpointReport:
-        """Return what the engine holds and has under way."""
+        """Return the engine's report: its artifacts, load and cached prefixes."""
         states = {
             ClaimState.LOADING: ArtifactState.LOADING,
             ClaimState.LOADED: ArtifactState.LOADED,
@@ -84,7 +84,7 @@
 
 
 class Gateway:
-    """The tables and systems of one gateway."""
+    """The endpoint table, request queue and policies of one gateway."""
 
     def __init__(self, fleet: FleetSpec, domain: str, rng: random.Random) -> None:
         self.table = EndpointTable()
@@ -94,8 +94,8 @@
         self.queueing = make_queueing(fleet.options.queueing)
 
 
-class Flight(msgspec.Struct, eq=False):
-    """A request with where it came from."""
+class InFlightRequest(msgspec.Struct, eq=False):
+    """A request on its way, with its arrival and its gateway."""
 
     arrival: Arrival
     waiting: WaitingRequest
--- a/bench/virtual.py
+++ b/bench/simulation.py
@@ -1,4 +1,4 @@
-"""The real decisions, tick by tick in virtual time, against small fakes."""
+"""Discrete-event simulation: the real decision code against simulated components."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from chutelink.tables.ledger import Claim, ClaimState
 from chutelink.tables.requests import WaitingRequest
 
-from .virtual_parts import Engine, Flight, Gateway
+from .simulated_components import Engine, Gateway, InFlightRequest
 from .workload import Arrival
 
 REPORT_INTERVAL_S = 0.5
@@ -35,7 +35,7 @@
 
 
 class Outcome(msgspec.Struct):
-    """What a run measured."""
+    """Results of a simulation."""
 
     accelerators: int
     requests: int = 0
@@ -47,36 +47,36 @@
 
     @property
     def attainment(self) -> float:
-        """Share of the requests whose first token was in time."""
+        """Share of the requests whose first token met the deadline."""
         return self.attained / max(1, self.requests)
 
     @property
-    def per_accelerator(self) -> float:
-        """Attainment for each accelerator, in percent."""
+    def attainment_per_accelerator(self) -> float:
+        """Attainment divided by the number of accelerators, in percent."""
         return 100 * self.attainment / self.accelerators
 
     @property
     def moves(self) -> int:
-        """Loads and unloads after the first placement."""
+        """Loads and unloads after the initial placement."""
         return self.loads + self.unloads
 
     @property
     def worst_class(self) -> float:
-        """Attainment of the class that fares worst."""
+        """Lowest attainment of any request class."""
         return min(a / max(1, n) for a, n in self.by_class.values())
 
 
-class VirtualRun:
-    """One run of a fleet against arrivals.
+class Simulation:
+    """Simulates a fleet that serves a list of arrivals.
 
     Parameters
     ----------
     fleet : FleetSpec
-        Names the policies and sizes.
+        Defines the policies and the sizes.
     arrivals : list of Arrival
-        In the order of time.
+        Sorted by time.
     seed : int
-        For the choices of the run itself.
+        For the random choices of gateways and routing.
     """
 
     def __init__(self, fleet: FleetSpec, arrivals: list[Arrival], seed: int) -> None:
@@ -92,7 +92,7 @@
         self._placement = make_placement(fleet.options)
         self._demand: dict[str, float] = {}
         self._events: list = []
-        self._ticket = itertools.count()
+        self._sequence = itertools.count()
         self._loading = 0
         self._load_tokens = 1.0
         self._now_s = 0.0
@@ -100,23 +100,23 @@
         self.outcome = Outcome(accelerators=accelerators, by_class={})
 
     def run(self) -> Outcome:
-        """Run to the last arrival and return what was measured."""
-        self._place_first()
+        """Run until 30 s after the last arrival and return the results."""
+        self._place_initially()
         for arrival in self._arrivals:
-            self._at(arrival.at_s, self._arrive, arrival)
-        self._at(0.0, self._report_all)
-        self._at(PLACEMENT_INTERVAL_S, self._place)
+            self._schedule(arrival.at_s, self._arrive, arrival)
+        self._schedule(0.0, self._report_all)
+        self._schedule(PLACEMENT_INTERVAL_S, self._place)
         end_s = self._arrivals[-1].at_s + 30.0
         while self._events and self._events[0][0] <= end_s:
-            self._now_s, _, function, arguments = heapq.heappop(self._events)
-            function(*arguments)
+            self._now_s, _, callback, arguments = heapq.heappop(self._events)
+            callback(*arguments)
         return self.outcome
 
-    def _at(self, at_s: float, function: Callable, *arguments: object) -> None:
-        event = (at_s, next(self._ticket), function, arguments)
+    def _schedule(self, at_s: float, callback: Callable, *arguments: object) -> None:
+        event = (at_s, next(self._sequence), callback, arguments)
         heapq.heappush(self._events, event)
 
-    def _place_first(self) -> None:
+    def _place_initially(self) -> None:
         for name, models in pack_minimum(self._fleet).assignment.items():
             for model in sorted(models):
                 self._claim(self._engines[name], model, ClaimState.LOADED)
@@ -147,7 +147,10 @@
         engine.row = msgspec.structs.replace(engine.row, claims=tuple(claims))
 
     def _report_all(self) -> None:
-        """Each gateway sees reports that are some time old; cache news has gaps."""
+        """Deliver each engine's report to the gateways after ``REPORT_LAG_S`` at least.
+
+        A gateway therefore misses changes of the prefix cache between two reports.
+        """
         for name, engine in self._engines.items():
             engine.reports.append((self._now_s, engine.report()))
             while (
@@ -160,8 +163,8 @@
                 gateway.table.note_report(name, report, self._now_s, self._now_s)
         for gateway in self._gateways:
             for artifacts in gateway.queue.groups():
-                self._tick(gateway, artifacts)
-        self._at(self._now_s + REPORT_INTERVAL_S, self._report_all)
+                self._dispatch(gateway, artifacts)
+        self._schedule(self._now_s + REPORT_INTERVAL_S, self._report_all)
 
     def _arrive(self, arrival: Arrival) -> None:
         gateway = self._rng.choice(self._gateways)
@@ -182,19 +185,19 @@
             prefixes=arrival.prefixes,
             dispatched=None,
         )
-        flight = Flight(arrival, waiting, gateway)
-        waiting.dispatched = flight
+        in_flight = InFlightRequest(arrival, waiting, gateway)
+        waiting.dispatched = in_flight
         gateway.queue.add(waiting)
         if not waiting.may_be_late:
             limit_s = max(0.0, waiting.slack_s(self._now_s))
-            self._at(self._now_s + limit_s, self._expire, flight)
-        self._tick(gateway, waiting.artifacts)
+            self._schedule(self._now_s + limit_s, self._expire, in_flight)
+        self._dispatch(gateway, waiting.artifacts)
 
-    def _expire(self, flight: Flight) -> None:
-        if flight.gateway.queue.remove(flight.waiting):
+    def _expire(self, in_flight: InFlightRequest) -> None:
+        if in_flight.gateway.queue.remove(in_flight.waiting):
             self.outcome.refused += 1
 
-    def _tick(self, gateway: Gateway, artifacts: tuple[Artifact, ...]) -> None:
+    def _dispatch(self, gateway: Gateway, artifacts: tuple[Artifact, ...]) -> None:
         holders = gateway.table.holders(artifacts)
         while group := gateway.queue.group(artifacts):
             request = gateway.queueing.select(group, self._now_s)
@@ -206,63 +209,67 @@
             row.inflight += 1
             self._accept(self._engines[row.name], request.dispatched)
 
-    def _accept(self, engine: Engine, flight: Flight) -> None:
-        model = flight.arrival.name
-        engine.by_model[model] = engine.by_model.get(model, 0) + 1
+    def _accept(self, engine: Engine, in_flight: InFlightRequest) -> None:
+        model = in_flight.arrival.name
+        engine.requests_by_model[model] = engine.requests_by_model.get(model, 0) + 1
         if engine.running < engine.spec.slots:
-            self._start(engine, flight)
+            self._start(engine, in_flight)
             return
-        priority = -flight.waiting.request_class.priority
-        heapq.heappush(engine.waiting, (priority, next(self._ticket), flight))
+        priority = -in_flight.waiting.request_class.priority
+        heapq.heappush(engine.waiting, (priority, next(self._sequence), in_flight))
 
-    def _start(self, engine: Engine, flight: Flight) -> None:
+    def _start(self, engine: Engine, in_flight: InFlightRequest) -> None:
         engine.running += 1
-        first_s = self._now_s + engine.prefill_s(flight.arrival) + engine.step_s()
-        if first_s <= flight.waiting.deadline_s:
+        first_s = self._now_s + engine.prefill_s(in_flight.arrival) + engine.step_s()
+        if first_s <= in_flight.waiting.deadline_s:
             self.outcome.attained += 1
-            name = flight.waiting.request_class.name
+            name = in_flight.waiting.request_class.name
             self.outcome.by_class[name][0] += 1
-        done_s = first_s + flight.arrival.output_tokens * engine.step_s()
-        self._at(done_s, self._finish, engine, flight)
+        done_s = first_s + in_flight.arrival.output_tokens * engine.step_s()
+        self._schedule(done_s, self._finish, engine, in_flight)
 
-    def _finish(self, engine: Engine, flight: Flight) -> None:
+    def _finish(self, engine: Engine, in_flight: InFlightRequest) -> None:
         engine.running -= 1
-        engine.by_model[flight.arrival.name] -= 1
+        engine.requests_by_model[in_flight.arrival.name] -= 1
         if engine.waiting:
             self._start(engine, heapq.heappop(engine.waiting)[2])
-        row = flight.gateway.table.rows[engine.spec.name]
+        row = in_flight.gateway.table.rows[engine.spec.name]
         row.inflight -= 1
-        for artifacts in flight.gateway.queue.groups():
+        for artifacts in in_flight.gateway.queue.groups():
             if row.loaded.issuperset(artifacts):
-                self._tick(flight.gateway, artifacts)
+                self._dispatch(in_flight.gateway, artifacts)
 
     def _place(self) -> None:
-        self._at(self._now_s + PLACEMENT_INTERVAL_S, self._place)
+        self._schedule(self._now_s + PLACEMENT_INTERVAL_S, self._place)
         self._load_tokens = min(LOADS_PER_S, self._load_tokens + LOADS_PER_S)
         for model in self._fleet.models:
-            seen = sum(e.by_model.get(model, 0) for e in self._engines.values())
+            current_demand = sum(
+                e.requests_by_model.get(model, 0) for e in self._engines.values()
+            )
             artifacts = (self._fleet.models[model].artifact,)
-            seen += sum(len(g.queue.group(artifacts)) for g in self._gateways)
-            before = self._demand.get(model, 0.0)
-            self._demand[model] = before + DEMAND_SMOOTHING * (seen - before)
-        given = PlacementInput(
+            current_demand += sum(len(g.queue.group(artifacts)) for g in self._gateways)
+            previous_demand = self._demand.get(model, 0.0)
+            self._demand[model] = previous_demand + DEMAND_SMOOTHING * (
+                current_demand - previous_demand
+            )
+        placement_input = PlacementInput(
             self._fleet,
             {name: engine.row for name, engine in self._engines.items()},
             frozenset(self._engines),
             self._demand,
         )
-        plan = self._placement.plan(given)
+        plan = self._placement.plan(placement_input)
         for name, models in sorted(plan.assignment.items()):
             self._reconcile(self._engines[name], models)
 
     def _reconcile(self, engine: Engine, models: set[str]) -> None:
         for claim in engine.row.claims:
-            is_wanted = claim.artifact.name in models
-            if is_wanted or claim.state is not ClaimState.LOADED:
+            is_assigned = claim.artifact.name in models
+            if is_assigned or claim.state is not ClaimState.LOADED:
                 continue
             self._set_claim(engine, claim.artifact, ClaimState.UNLOADING)
             self.outcome.unloads += 1
-            self._at(
+            self._schedule(
                 self._now_s + DRAIN_S, self._set_claim, engine, claim.artifact, None
             )
         held = {claim.artifact.name for claim in engine.row.claims}
@@ -276,9 +283,9 @@
             self.outcome.loads += 1
             size_mb = self._fleet.models[model].memory_mb
             done_s = self._now_s + LOAD_BASE_S + size_mb / LOAD_MB_PER_S
-            self._at(done_s, self._loaded, engine, model)
+            self._schedule(done_s, self._finish_load, engine, model)
 
-    def _loaded(self, engine: Engine, model: str) -> None:
+    def _finish_load(self, engine: Engine, model: str) -> None:
         self._loading -= 1
         artifact = self._fleet.models[model].artifact
         self._set_claim(engine, artifact, ClaimState.LOADED)
