--- a/bench/plans.py
+++ b/bench/plans.py
@@ -1,4 +1,4 @@
-"""How long the entry daemon's placer takes for one plan, by endpoints and models."""
+"""Measures the placement planning time of the entry daemon by deployment size."""
 
 from __future__ import annotations
 
@@ -26,25 +26,30 @@
 SEED = 1
 NOW_S = 100.0
 REPEATS = 5
-MODELS_HELD = 3
-COPIES_KEPT = 6
+MODELS_PER_ENDPOINT = 3
+DISK_COPIES_PER_ENDPOINT = 6
 MESSAGES = 200
-USES = 5
+USES_PER_MESSAGE = 5
 DAEMONS = 16
 BUSY_MODELS = 40
-"""Four of five requests are for one of these."""
+"""Number of models that receive four of five requests."""
 COLD_LOADS = 3
 
 
 class PlanSize(msgspec.Struct, frozen=True):
-    """A deployment's endpoints and models."""
+    """Number of endpoints and models of a deployment."""
 
     endpoints: int
     models: int
 
 
-SIZES = (PlanSize(9, 39), PlanSize(30, 131), PlanSize(70, 305), PlanSize(200, 220))
-"""Both deployments of today, both grown ones, and more endpoints."""
+DEPLOYMENT_SIZES = (
+    PlanSize(9, 39),
+    PlanSize(30, 131),
+    PlanSize(70, 305),
+    PlanSize(200, 220),
+)
+"""Both current deployments, both grown ones, and one with more endpoints."""
 
 
 def _make_engine(size: PlanSize, rng: random.Random) -> EngineSpec:
@@ -58,7 +63,7 @@
 
 
 def _make_site(number: int, models: list[ModelName], rng: random.Random) -> Site:
-    held = dict.fromkeys(rng.sample(models, MODELS_HELD), frozenset())
+    held = dict.fromkeys(rng.sample(models, MODELS_PER_ENDPOINT), frozenset())
     record = EndpointRecord(
         EndpointId(f"i-{number}"),
         ServiceName("llm"),
@@ -69,15 +74,15 @@
         held,
     )
     inventory = Inventory(record.id)
-    copies = tuple(rng.sample(models, COPIES_KEPT))
+    copies = tuple(rng.sample(models, DISK_COPIES_PER_ENDPOINT))
     inventory.take_report(EndpointReport(0, False, held, on_disk=copies), NOW_S)
     return Site(Endpoint(record), inventory)
 
 
 def make_view(size: PlanSize, rng: random.Random) -> PlacementView:
-    """Return a view in which every endpoint is free and much is asked for.
+    """Return a view with high demand in which every endpoint is free.
 
-    That is the longest plan there is; usually few endpoints are free.
+    This is the worst case for planning time; usually few endpoints are free.
     """
     engine = _make_engine(size, rng)
     models = list(engine.models)
@@ -91,7 +96,7 @@
                 work_s=0.2,
                 waiting=rng.choice((0, 0, 0, 1)),
             )
-            for _ in range(USES)
+            for _ in range(USES_PER_MESSAGE)
         ]
         demand.take(DaemonId(f"d{message % DAEMONS}"), uses, NOW_S)
     sites = [_make_site(number, models, rng) for number in range(size.endpoints)]
@@ -99,10 +104,10 @@
 
 
 def run_plans() -> None:
-    """Measure each size and print a table."""
+    """Measure the planning time of each size and print a table."""
     print("| endpoints | models | changes | ms a plan |")
     print("| --- | --- | --- | --- |")
-    for size in SIZES:
+    for size in DEPLOYMENT_SIZES:
         view = make_view(size, random.Random(SEED))
         started_s = time.perf_counter()
         for _ in range(REPEATS):
--- a/tests/bench/test_pauses.py
+++ b/tests/bench/test_pauses.py
@@ -1,21 +1,25 @@
-"""What callers get of an engine in virtual time when prompts are spaced out."""
+"""Tests of the effect of prompt spacing on streams of a simulated engine."""
 
 from __future__ import annotations
 
 import pytest
 
-from bench.pauses import Kind, play
+from bench.pauses import RequestKind, simulate
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_fewer_streams_pause_where_prompts_are_spaced_out(seed):
-    """At 8 drafts and 2 long prompts a second, 0.32 to 0.39 and 0.17 to 0.24."""
-    before = play(8.0, seed, is_spaced=False)[Kind.DRAFT]
-    after = play(8.0, seed, is_spaced=True)[Kind.DRAFT]
+def test_prompt_spacing_reduces_lost_streams(seed):
+    """Prefills of long prompts must not stall running streams.
+
+    At 8 drafts and 2 long prompts a second, the lost share is 0.32 to 0.39 without
+    spacing and 0.17 to 0.24 with it.
+    """
+    before = simulate(8.0, seed, has_prompt_spacing=False)[RequestKind.DRAFT]
+    after = simulate(8.0, seed, has_prompt_spacing=True)[RequestKind.DRAFT]
     assert before.streams == after.streams
     assert after.lost_share < 0.75 * before.lost_share
 
 
-def test_without_load_nothing_is_lost_by_spacing():
-    after = play(0.2, 1, is_spaced=True)
-    assert after[Kind.DRAFT].lost_share < 0.05
+def test_prompt_spacing_loses_almost_nothing_under_light_load():
+    after = simulate(0.2, 1, has_prompt_spacing=True)
+    assert after[RequestKind.DRAFT].lost_share < 0.05
