--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load and experiment tool; not part of the daemons."""
+"""Load generation and experiments; not used by the daemons."""
--- a/bench/capacity_daemons.py
+++ b/bench/capacity_daemons.py
@@ -1,4 +1,4 @@
-"""What real daemons use, idle and serving."""
+"""Measures the resource usage of a gateway process, idle and serving."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     PLATFORM,
     Processes,
     async_apply,
-    async_until,
+    async_wait_until_ok,
     caller_section,
     daemon_settings,
 )
@@ -31,7 +31,7 @@
 REQUEST_RATES_PER_S = (25, 50, 100, 200)
 SETTLE_S = 4.0
 WINDOW_S = 6.0
-FETCHER_PORT = 8100
+ENDPOINT_PORT = 8100
 
 
 def _report_body() -> bytes:
@@ -42,8 +42,8 @@
     return msgspec.json.encode(EndpointReport(BootId("b" * 32), artifacts=held))
 
 
-class _Reporter:
-    """Answers reports for many endpoints, and counts what it sent."""
+class _ReportServer:
+    """Serves reports on behalf of many endpoints, and counts the requests."""
 
     def __init__(self) -> None:
         self.polls = 0
@@ -56,7 +56,7 @@
         self._runner = web.AppRunner(app, access_log=None)
         await self._runner.setup()
         for host in hosts:
-            site = web.TCPSite(self._runner, host, FETCHER_PORT, reuse_address=True)
+            site = web.TCPSite(self._runner, host, ENDPOINT_PORT, reuse_address=True)
             await site.start()
 
     async def async_report(self, request: web.Request) -> web.Response:
@@ -69,11 +69,11 @@
         await self._runner.cleanup()
 
 
-async def _async_daemons(size: int) -> list[Point]:
-    """Return what an idle gateway and lease holder spend, by endpoints."""
-    reporter = _Reporter()
+async def _async_measure_idle_gateway(size: int) -> list[Point]:
+    """Return the resource usage of an idle gateway that polls ``size`` endpoints."""
+    report_server = _ReportServer()
     hosts = [f"127.0.{91 + n // 250}.{1 + n % 250}" for n in range(size)]
-    await reporter.async_start(hosts)
+    await report_server.async_start(hosts)
     points = []
     with tempfile.TemporaryDirectory() as name:
         processes = Processes(Path(name))
@@ -83,19 +83,24 @@
         )
         async with aiohttp.ClientSession() as session:
             try:
-                await async_until(session, f"{PLATFORM}/standin/counts")
+                await async_wait_until_ok(session, f"{PLATFORM}/standin/counts")
                 await _async_start_gateway(processes, session)
                 text = fleet_text(size, lambda n: hosts[n])
                 await async_apply(processes.directory, text + caller_section())
                 await asyncio.sleep(SETTLE_S + size / 100)
                 cpu_before, _ = processes.usage("gateway")
-                polls_before, reads_before = reporter.polls, await _async_reads(session)
+                polls_before, reads_before = (
+                    report_server.polls,
+                    await _async_table_reads(session),
+                )
                 await asyncio.sleep(WINDOW_S)
                 cpu, memory_mb = processes.usage("gateway")
-                polls = (reporter.polls - polls_before) / WINDOW_S
-                reads = (await _async_reads(session) - reads_before) / WINDOW_S
+                polls_per_s = (report_server.polls - polls_before) / WINDOW_S
+                reads = (await _async_table_reads(session) - reads_before) / WINDOW_S
                 share = 100 * (cpu - cpu_before) / WINDOW_S
-                poll_bytes = polls * (len(zlib.compress(reporter.body)) + 330)
+                poll_bytes = polls_per_s * (
+                    len(zlib.compress(report_server.body)) + 330
+                )
                 points = [
                     Point("idle gateway, % of a core by endpoints", size, share),
                     Point("idle gateway, MB by endpoints", size, memory_mb),
@@ -104,7 +109,7 @@
                 ]
             finally:
                 processes.stop()
-                await reporter.async_stop()
+                await report_server.async_stop()
     return points
 
 
@@ -112,38 +117,40 @@
     path = processes.directory / "gateway.ini"
     path.write_text(daemon_settings("gateway-1", 11, 7100, [f"{NET}.11:7101"]))
     processes.start("gateway", "chutelink-gateway", "--settings", str(path))
-    await async_until(session, f"http://{NET}.11:7100/healthz")
+    await async_wait_until_ok(session, f"http://{NET}.11:7100/healthz")
 
 
-async def _async_reads(session: aiohttp.ClientSession) -> int:
+async def _async_table_reads(session: aiohttp.ClientSession) -> int:
     async with session.get(f"{PLATFORM}/standin/counts") as response:
         return (await response.json())["reads"]
 
 
 def measure_daemons() -> list[Point]:
-    """Measure an idle gateway at each size."""
+    """Measure an idle gateway at each number of endpoints."""
     points = []
     for size in ENDPOINT_SIZES:
-        points += asyncio.run(_async_daemons(size))
+        points += asyncio.run(_async_measure_idle_gateway(size))
     return points
 
 
-async def async_serving() -> list[Point]:
-    """Return what requests and open streams cost a gateway."""
+async def async_measure_serving() -> list[Point]:
+    """Return the resource usage of a gateway by request rate and open streams."""
     from .latency import AUTH, BODY, FLEET, GATEWAY, PATH
     from .load import Target, async_open_loop
 
     points = []
     with tempfile.TemporaryDirectory() as name:
         processes = Processes(Path(name))
-        _start_serving(processes)
+        _start_serving_processes(processes)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
             try:
-                await async_until(session, f"{PLATFORM}/standin/counts")
+                await async_wait_until_ok(session, f"{PLATFORM}/standin/counts")
                 await _async_start_gateway(processes, session)
                 await async_apply(processes.directory, FLEET + caller_section())
-                await async_until(session, GATEWAY + PATH, json=BODY, headers=AUTH)
+                await async_wait_until_ok(
+                    session, GATEWAY + PATH, json=BODY, headers=AUTH
+                )
                 target = [Target("gateway", GATEWAY + PATH, AUTH)]
                 for rate in REQUEST_RATES_PER_S:
                     before, _ = processes.usage("gateway")
@@ -153,13 +160,13 @@
                     points.append(
                         Point("serving, % of a core by requests/s", rate, share)
                     )
-                points += await _async_streams(processes, session)
+                points += await _async_measure_streams(processes, session)
             finally:
                 processes.stop()
     return points
 
 
-def _start_serving(processes: Processes) -> None:
+def _start_serving_processes(processes: Processes) -> None:
     processes.start(
         "platform",
         *("chutelink-standin-platform", "--address", f"{NET}.1", "--port", "7000"),
@@ -176,8 +183,8 @@
     processes.start("director", "chutelink-director", "--settings", str(path))
 
 
-async def _async_streams(processes: Processes, session) -> list[Point]:
-    """Return memory and processor of open streams of ten tokens a second."""
+async def _async_measure_streams(processes: Processes, session) -> list[Point]:
+    """Return CPU and memory usage by open streams of ten tokens per second each."""
     from .latency import AUTH, BODY, GATEWAY, PATH
 
     points = []
--- a/bench/capacity_mesh.py
+++ b/bench/capacity_mesh.py
@@ -1,4 +1,4 @@
-"""Bytes, processor time and memory of membership, by daemons."""
+"""Measures the traffic, CPU time and memory of membership by number of daemons."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 WINDOW_S = 6.0
 
 
-async def _async_mesh(size: int) -> tuple[float, float, float]:
-    """Return bytes a second, processor share in % and KB for each daemon."""
+async def _async_measure_mesh(size: int) -> tuple[float, float, float]:
+    """Return bytes per second, CPU usage in % and memory in KB per daemon."""
     sent = 0
-    plain_send = Link.send
+    original_send = Link.send
 
     def counting_send(link: Link, message) -> None:
         nonlocal sent
         before = link._queue.qsize()
-        plain_send(link, message)
+        original_send(link, message)
         if link._queue.qsize() > before:
             sent += len(link._queue._queue[-1]) + 6
 
@@ -52,10 +52,10 @@
         elapsed_s = time.perf_counter() - started_s
         cpu = process.cpu_times()
         used_s = cpu.user + cpu.system - cpu_before.user - cpu_before.system
-        kept_kb = (process.memory_info().rss - memory_before) / 1000 / size
-        return sent / elapsed_s / size, 100 * used_s / elapsed_s / size, kept_kb
+        memory_kb = (process.memory_info().rss - memory_before) / 1000 / size
+        return sent / elapsed_s / size, 100 * used_s / elapsed_s / size, memory_kb
     finally:
-        Link.send = plain_send
+        Link.send = original_send
         for mesh in meshes:
             await mesh.stop()
 
@@ -89,11 +89,11 @@
 
 
 def measure_mesh() -> list[Point]:
-    """Messages, processor and memory of membership, by daemons."""
+    """Measure the membership traffic, CPU usage and memory at each mesh size."""
     points = []
     for size in MESH_SIZES:
-        sent, cpu, kept_kb = asyncio.run(_async_mesh(size))
+        sent, cpu, memory_kb = asyncio.run(_async_measure_mesh(size))
         points.append(Point("peer links, bytes/s sent by daemons", size, sent))
         points.append(Point("peer links, % of a core by daemons", size, cpu))
-        points.append(Point("membership, KB by daemons", size, kept_kb))
+        points.append(Point("membership, KB by daemons", size, memory_kb))
     return points
--- a/bench/capacity_plans.py
+++ b/bench/capacity_plans.py
@@ -1,4 +1,4 @@
-"""Time of parsing a fleet file and of planning, by endpoints."""
+"""Measures the time to parse a fleet file and to plan placement, by endpoints."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 ENDPOINT_SIZES = (20, 80, 320, 670)
 MODELS_PER_ENDPOINT = 220 / 670
-FETCHER_PORT = 8100
+ENDPOINT_PORT = 8100
 
 
 def fleet_text(endpoints: int, host_of) -> str:
-    """Return a fleet of the planned shape at a smaller or full size."""
+    """Return a fleet file with the planned ratio of models to endpoints."""
     parts = [f"[failure_domain d{n}]\n" for n in range(5)]
     for number in range(endpoints):
         parts.append(
-            f"[endpoint e{number}]\nurl = http://{host_of(number)}:{FETCHER_PORT}\n"
+            f"[endpoint e{number}]\nurl = http://{host_of(number)}:{ENDPOINT_PORT}\n"
             f"failure_domain = d{number % 5}\nvm = v{number}\naccelerators = 8\n"
             "memory_mb = 80000\n"
         )
@@ -35,7 +35,7 @@
 
 
 def measure_parse() -> list[Point]:
-    """Time to bring a file in force (parse only), by endpoints."""
+    """Measure the parse time and the size of a fleet file by endpoints."""
     points = []
     for size in ENDPOINT_SIZES:
         text = fleet_text(size, lambda n: f"127.0.{91 + n // 250}.{1 + n % 250}")
@@ -49,7 +49,7 @@
 
 
 def measure_plan() -> list[Point]:
-    """Time of one placement plan and memory of the ledger, by endpoints."""
+    """Measure the time of a placement plan and the size of the ledger by endpoints."""
     points = []
     for size in ENDPOINT_SIZES:
         text = fleet_text(size, lambda n: f"127.0.{91 + n // 250}.{1 + n % 250}")
--- a/bench/changes.py
+++ b/bench/changes.py
@@ -1,4 +1,4 @@
-"""How long a change of configuration takes to be in force on every daemon."""
+"""Measures how long a configuration change takes to reach every daemon."""
 
 from __future__ import annotations
 
@@ -10,15 +10,22 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from .deployment import BIN, NET, PLATFORM, Processes, async_until, daemon_settings
-from .load import DIGITS, MAX_US, MIN_US, summarise
+from .deployment import (
+    BIN,
+    NET,
+    PLATFORM,
+    Processes,
+    async_wait_until_ok,
+    daemon_settings,
+)
+from .load import MAX_US, MIN_US, SIGNIFICANT_DIGITS, summarise
 
 SIZES = (2, 4, 8, 16)
-CHANGES = 15
+CHANGES_PER_SIZE = 15
 
 
 def _start_daemons(processes: Processes, count: int) -> list[str]:
-    """Start gateways and directors in turn; return their addresses."""
+    """Start gateways and directors alternately, and return their URLs."""
     urls = []
     for number in range(count):
         kind, port = (("gateway", 7100), ("director", 7200))[number % 2]
@@ -31,8 +38,8 @@
     return urls
 
 
-async def _async_change(directory: Path, base: int) -> float:
-    """Apply another file; return the seconds from the commit to everywhere."""
+async def _async_apply_change(directory: Path, base: int) -> float:
+    """Apply a new file; return the seconds from its commit until all daemons use it."""
     settings = directory / "operator.ini"
     settings.write_text(f"[platform]\nurl = {PLATFORM}\nkey = platform-key\n")
     fleet = directory / "fleet.ini"
@@ -48,7 +55,7 @@
 
 
 async def _async_measure(count: int) -> HdrHistogram:
-    histogram = HdrHistogram(MIN_US, MAX_US, DIGITS)
+    histogram = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
     with tempfile.TemporaryDirectory() as name:
         processes = Processes(Path(name))
         processes.start(
@@ -57,11 +64,11 @@
         )
         async with aiohttp.ClientSession() as session:
             try:
-                await async_until(session, f"{PLATFORM}/standin/counts")
+                await async_wait_until_ok(session, f"{PLATFORM}/standin/counts")
                 for url in _start_daemons(processes, count):
-                    await async_until(session, f"{url}/healthz")
-                for base in range(CHANGES):
-                    elapsed_s = await _async_change(processes.directory, base)
+                    await async_wait_until_ok(session, f"{url}/healthz")
+                for base in range(CHANGES_PER_SIZE):
+                    elapsed_s = await _async_apply_change(processes.directory, base)
                     histogram.record_value(max(MIN_US, int(elapsed_s * 1e6)))
             finally:
                 processes.stop()
@@ -69,10 +76,16 @@
 
 
 def run_changes() -> None:
-    """Measure each size and print a table."""
+    """Measure each number of daemons and print a table."""
     print("| daemons | changes | p50 ms | p95 ms | p99 ms |")
     print("| --- | --- | --- | --- | --- |")
     for count in SIZES:
-        found = summarise(str(count), asyncio.run(_async_measure(count)), 0)
-        row = (found.name, found.count, found.p50_ms, found.p95_ms, found.p99_ms)
+        latency = summarise(str(count), asyncio.run(_async_measure(count)), 0)
+        row = (
+            latency.name,
+            latency.count,
+            latency.p50_ms,
+            latency.p95_ms,
+            latency.p99_ms,
+        )
         print("| " + " | ".join(str(cell) for cell in row) + " |")
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -1,4 +1,4 @@
-"""Processes for measurements; started and ended by id, on loopback."""
+"""Starts and stops the processes of a measurement on loopback addresses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 KEY = "bench-key"
 NET = "127.0.90"
 PLATFORM = f"http://{NET}.1:7000"
-FAILURES = (aiohttp.ClientError, TimeoutError, ConnectionError)
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, ConnectionError)
 
 
 class Processes:
@@ -26,20 +26,20 @@
         self._running: dict[str, subprocess.Popen] = {}
 
     def start(self, name: str, *command: str) -> None:
-        """Start a program of this environment."""
+        """Start a program that is installed in this Python environment."""
         with (self.directory / f"{name}.log").open("wb") as log:
             self._running[name] = subprocess.Popen(
                 [str(BIN / command[0]), *command[1:]], stdout=log, stderr=log
             )
 
     def usage(self, name: str) -> tuple[float, float]:
-        """Return the processor time in seconds and the memory in MB."""
+        """Return a process's CPU time in seconds and resident memory in MB."""
         process = psutil.Process(self._running[name].pid)
         times = process.cpu_times()
         return times.user + times.system, process.memory_info().rss / 1e6
 
     def stop(self) -> None:
-        """End all, the last started first."""
+        """Kill all processes in reverse order of their start."""
         for process in reversed(self._running.values()):
             process.kill()
             process.wait()
@@ -72,7 +72,7 @@
 
 
 def caller_section() -> str:
-    """Return a caller who may do everything."""
+    """Return the section of a caller with access to all models and services."""
     digest = hashlib.sha256(KEY.encode()).hexdigest()
     return (
         f"[caller bench]\nkey_sha256 = {digest}\nmodels = *\nservices = *\n"
@@ -80,8 +80,10 @@
     )
 
 
-async def async_until(session: aiohttp.ClientSession, url: str, **options) -> None:
-    """Wait until a URL answers with 200."""
+async def async_wait_until_ok(
+    session: aiohttp.ClientSession, url: str, **options
+) -> None:
+    """Wait until a URL returns status 200, for at most 60 s."""
     method = "POST" if "json" in options else "GET"
     async with asyncio.timeout(60):
         while True:
@@ -89,13 +91,13 @@
                 async with session.request(method, url, **options) as response:
                     if response.status == 200:
                         return
-            except FAILURES:
+            except CONNECTION_ERRORS:
                 pass
             await asyncio.sleep(0.1)
 
 
 async def async_apply(directory: Path, text: str, base: int = 0) -> None:
-    """Apply a fleet file with the operators' tool."""
+    """Apply a fleet file with the ``chutelink`` command."""
     settings = directory / "operator.ini"
     settings.write_text(f"[platform]\nurl = {PLATFORM}\nkey = platform-key\n")
     fleet = directory / "fleet.ini"
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,4 +1,4 @@
-"""What a gateway adds over calling the engine directly, beside a bare relay."""
+"""Measures the latency that a gateway adds, compared with a bare relay."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     PLATFORM,
     Processes,
     async_apply,
-    async_until,
+    async_wait_until_ok,
     caller_section,
     daemon_settings,
 )
@@ -52,7 +52,7 @@
 """
 
 
-def _start(processes: Processes) -> None:
+def _start_processes(processes: Processes) -> None:
     processes.start(
         "platform",
         *("chutelink-standin-platform", "--address", f"{NET}.1", "--port", "7000"),
@@ -82,7 +82,7 @@
         processes.start(name, f"chutelink-{name}", "--settings", str(path))
 
 
-def _targets() -> list[Target]:
+def _make_targets() -> list[Target]:
     direct = {"X-Request-Id": "direct", "Content-Type": "application/json"}
     return [
         Target("direct", ENGINE + PATH, direct),
@@ -92,7 +92,7 @@
 
 
 async def _async_slow_stream(session: aiohttp.ClientSession) -> None:
-    """Keep a stream open that gives a token now and then."""
+    """Keep a stream open that returns a token every ``SLOW_STEP_S``."""
     body = {**BODY, "model": "slow", "stream": True, "max_tokens": 1_000_000}
     async with session.post(GATEWAY + PATH, json=body, headers=AUTH) as response:
         async for _ in response.content.iter_any():
@@ -100,45 +100,49 @@
 
 
 async def async_measure(duration_s: float) -> dict:
-    """Return latencies at each rate, and memory of the idle daemons in MB."""
+    """Return the latencies at each rate, and the idle daemons' memory in MB."""
     with tempfile.TemporaryDirectory() as name:
         processes = Processes(Path(name))
-        _start(processes)
+        _start_processes(processes)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as s:
             try:
-                await async_until(s, f"{PLATFORM}/standin/counts")
-                await async_until(s, f"{GATEWAY}/healthz")
+                await async_wait_until_ok(s, f"{PLATFORM}/standin/counts")
+                await async_wait_until_ok(s, f"{GATEWAY}/healthz")
                 await async_apply(processes.directory, FLEET + caller_section())
-                await async_until(s, GATEWAY + PATH, json=BODY, headers=AUTH)
+                await async_wait_until_ok(s, GATEWAY + PATH, json=BODY, headers=AUTH)
                 slow = {**BODY, "model": "slow"}
-                await async_until(s, GATEWAY + PATH, json=slow, headers=AUTH)
-                await async_until(s, RELAY + PATH, json=BODY)
+                await async_wait_until_ok(s, GATEWAY + PATH, json=slow, headers=AUTH)
+                await async_wait_until_ok(s, RELAY + PATH, json=BODY)
                 await asyncio.sleep(3)
                 memory = {
                     name: round(processes.usage(name)[1], 1)
                     for name in ("gateway", "director")
                 }
-                rows = await _async_rates(s, duration_s)
+                rows = await _async_measure_rates(s, duration_s)
             finally:
                 processes.stop()
     return {"idle_memory_mb": memory, "rows": rows}
 
 
-async def _async_rates(session: aiohttp.ClientSession, duration_s: float) -> list:
+async def _async_measure_rates(
+    session: aiohttp.ClientSession, duration_s: float
+) -> list:
     rows: list[tuple[str, Latency]] = []
     for rate_per_s in RATES_PER_S:
-        found = await async_open_loop(session, _targets(), BODY, rate_per_s, duration_s)
-        rows += [(f"whole, {rate_per_s}/s", latency) for latency in found]
+        latencies = await async_open_loop(
+            session, _make_targets(), BODY, rate_per_s, duration_s
+        )
+        rows += [(f"whole, {rate_per_s}/s", latency) for latency in latencies]
     body = {**BODY, "stream": True, "max_tokens": 4}
-    found = await async_open_loop(session, _targets(), body, 200, duration_s)
-    rows += [("first token, 200/s", latency) for latency in found]
+    latencies = await async_open_loop(session, _make_targets(), body, 200, duration_s)
+    rows += [("first token, 200/s", latency) for latency in latencies]
     streams = [
         asyncio.ensure_future(_async_slow_stream(session)) for _ in range(SLOW_STREAMS)
     ]
     await asyncio.sleep(2)
-    found = await async_open_loop(session, _targets(), BODY, 200, duration_s)
-    rows += [(f"whole, 200/s, {SLOW_STREAMS} slow streams", lat) for lat in found]
+    latencies = await async_open_loop(session, _make_targets(), BODY, 200, duration_s)
+    rows += [(f"whole, 200/s, {SLOW_STREAMS} slow streams", lat) for lat in latencies]
     for stream in streams:
         stream.cancel()
     await asyncio.gather(*streams, return_exceptions=True)
@@ -146,7 +150,7 @@
 
 
 def to_table(result: dict) -> str:
-    """Return the result as a Markdown table; each target gets the rate."""
+    """Return the result as a Markdown table; rates are per target."""
     lines = [
         "| load | target | n | failed | p50 ms | p95 ms | p99 ms |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -161,6 +165,6 @@
 
 
 def run(duration_s: float, *, is_json: bool) -> None:
-    """Measure and print."""
+    """Measure latencies and print them as a table or as JSON."""
     result = asyncio.run(async_measure(duration_s))
     print(msgspec.json.encode(result).decode() if is_json else to_table(result))
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load on real processes; latency counts from the intended send time."""
+"""Open-loop load generator; latency is measured from the intended send time."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 MIN_US = 1
 MAX_US = 60_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Where to send, and with which headers."""
+    """A URL to send requests to, with the headers to use."""
 
     name: str
     url: str
@@ -23,7 +23,7 @@
 
 
 class Latency(msgspec.Struct, frozen=True):
-    """Percentiles in milliseconds, and what failed."""
+    """Latency percentiles in milliseconds, with request and failure counts."""
 
     name: str
     count: int
@@ -50,22 +50,22 @@
     rate_per_s: float,
     duration_s: float,
 ) -> list[Latency]:
-    """Send to the targets in turn, so that they are paired in one run.
+    """Send requests to the targets alternately, so that one run compares them.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Without a limit of connections.
+        A session without a connection limit.
     targets : list of Target
-        Each gets the whole rate.
+        Each target receives the full rate.
     body : dict
-        Sent as JSON; with ``stream`` the first event is what is timed.
+        Sent as JSON; with ``stream``, the time to the first event is measured.
     rate_per_s : float
-        Requests a second to each target.
+        Requests per second to each target.
     duration_s : float
-        How long to send.
+        Duration of sending.
     """
-    histograms = [HdrHistogram(MIN_US, MAX_US, DIGITS) for _ in targets]
+    histograms = [HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS) for _ in targets]
     failures = [0] * len(targets)
     payload = msgspec.json.encode(body)
     started_s = time.perf_counter()
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""A bare relay of a few lines on the same library: the floor for a gateway."""
+"""A minimal relay built on the same HTTP library, as a lower bound for a gateway."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Relay every request to one target, without any decision."""
+    """Relay every request to one fixed target."""
     parser = make_parser("Bare relay.")
     parser.add_argument("--target", required=True)
     args = parser.parse_args()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""A measured point, and the straight line through some."""
+"""Measured points and a least-squares line through them."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured point of a line."""
+    """One measured value at one size; ``line`` names the line it belongs to."""
 
     line: str
     size: float
     value: float
 
 
-def fit(points: list[Point]) -> tuple[float, float]:
-    """Return slope and intercept by least squares."""
+def fit_line(points: list[Point]) -> tuple[float, float]:
+    """Return the slope and intercept of the least-squares line."""
     count = len(points)
     mean_x = sum(p.size for p in points) / count
     mean_y = sum(p.value for p in points) / count
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the load and experiment tool."""
+"""Tests of the load generation and experiment tool."""
