--- a/bench/main.py
+++ b/bench/main.py
@@ -7,26 +7,32 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the command line's parser."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(
-        prog="chutelink-bench", description="Load and experiments on loopback."
+        prog="chutelink-bench", description="Load tests and experiments on loopback."
     )
     parser.add_argument("--json", action="store_true", help="output for programs")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    command = commands.add_parser("latency", help="what a gateway adds")
+    command = commands.add_parser("latency", help="latency that a gateway adds")
     command.add_argument("--duration-s", type=float, default=8.0)
-    command = commands.add_parser("policies", help="policies against baselines")
+    command = commands.add_parser("policies", help="compare policies with baselines")
     command.add_argument("--seeds", type=int, default=10)
     command.add_argument("--csv", default="", help="write the plotted points")
     command.add_argument("--plot", default="", help="write the plot as PNG")
-    commands.add_parser("changes", help="time until a change is in force everywhere")
-    commands.add_parser("plans", help="time of a placement plan by size")
-    commands.add_parser("holds", help="when to keep deadly requests away")
-    commands.add_parser("pauses", help="streams at an engine in virtual time")
-    command = commands.add_parser("quotas", help="quotas over a fleet, four ways")
+    commands.add_parser(
+        "changes", help="time until a new version is in force everywhere"
+    )
+    commands.add_parser("plans", help="placement planning time by deployment size")
+    commands.add_parser("holds", help="when to quarantine deadly requests")
+    commands.add_parser("pauses", help="simulate prompt spacing at one engine")
+    command = commands.add_parser(
+        "quotas", help="compare quota strategies across a fleet"
+    )
     command.add_argument("--csv", default="", help="write the table")
     command.add_argument("--plot", default="", help="write the plot as PNG")
-    command = commands.add_parser("account", help="where requests were lost, by logs")
+    command = commands.add_parser(
+        "account", help="report why requests failed, from logs"
+    )
     command.add_argument("logs", nargs="+", help="logs of entry daemons")
     command.add_argument("--plot", default="", help="write the plot as PNG")
     command = commands.add_parser("capacity", help="slopes for the capacity page")
@@ -35,7 +41,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command."""
+    """Run the command given on the command line."""
     args = make_parser().parse_args(argv)
     if args.command == "latency":
         from .latency import run
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -193,13 +193,19 @@
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4))
     for strategy in STRATEGIES:
-        found = [row for row in rows if row[2] == strategy.__name__]
-        labels = [f"{row[0]}, {row[1]}" for row in found]
+        strategy_rows = [row for row in rows if row[2] == strategy.__name__]
+        labels = [f"{row[0]}, {row[1]}" for row in strategy_rows]
         left.plot(
-            labels, [row[3] for row in found], marker="o", label=strategy.__name__
+            labels,
+            [row[3] for row in strategy_rows],
+            marker="o",
+            label=strategy.__name__,
         )
         right.plot(
-            labels, [row[4] for row in found], marker="o", label=strategy.__name__
+            labels,
+            [row[4] for row in strategy_rows],
+            marker="o",
+            label=strategy.__name__,
         )
     left.axhline(1.0, color="black", linewidth=0.8)
     left.set_title("most in a window, over what is allowed")
--- a/bench/simulated_components.py
+++ b/bench/simulated_components.py
@@ -95,7 +95,7 @@
 
 
 class InFlightRequest(msgspec.Struct, eq=False):
-    """A request on its way, with its arrival and its gateway."""
+    """A request from its arrival to its completion, with the gateway that took it."""
 
     arrival: Arrival
     waiting: WaitingRequest
