--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults around the real programs, and checks of what they promise."""
+"""Soak tests: random faults against the real programs, with invariant checks."""
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and what became of each of their requests."""
+"""Callers with persistent connections, and the outcomes of their requests."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 )
 
 DEADLINE_S = 3.0
-EVENTS = 20
+EVENTS_PER_STREAM = 20
 MODELS = ("m0", "m1", "m2", "m3")
 MIN_PAUSE_S = 0.02
 MAX_PAUSE_S = 0.25
 
 
 class RequestKind(Enum):
-    """What a request allows: how often it may run, and how it is answered."""
+    """Kinds of requests, which differ in permitted repeats and in their answers."""
 
     ONCE = "once"
     AGAIN = "again"
@@ -33,9 +33,9 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """One request as its caller saw it; status 0 where no answer came.
+    """Outcome of one request as its caller saw it; status 0 means no answer.
 
-    ``is_whole`` says that the answer ended as complete answers do.
+    ``is_whole`` is set if the answer ended as a complete answer does.
     """
 
     id: str
@@ -49,18 +49,18 @@
 
 
 class Caller:
-    """Sends requests of one kind to daemons at random, one after the other.
+    """Sends requests of one kind to random daemons, one at a time.
 
     Parameters
     ----------
     deployment : EntryDeployment
-        Where the daemons are.
+        Deployment with the daemons.
     daemons : int
-        How many there are.
+        Number of daemons.
     kind : RequestKind
-        What it sends.
+        Kind of its requests.
     seed : int
-        Of its choices.
+        Seed of its random choices.
     """
 
     _ids = itertools.count()
@@ -73,34 +73,36 @@
         self._kind = kind
         self._rng = random.Random(seed)
         self.outcomes: list[Outcome] = []
-        self.is_over = False
+        self.is_stopping = False
 
     async def async_run(self) -> None:
-        """Send until told to stop, over connections that are kept."""
+        """Send requests over persistent connections until stopped."""
         async with aiohttp.ClientSession() as session:
-            while not self.is_over:
+            while not self.is_stopping:
                 daemon = self._rng.randrange(self._daemons)
                 self.outcomes.append(await self.async_send(session, daemon))
                 await asyncio.sleep(self._rng.uniform(MIN_PAUSE_S, MAX_PAUSE_S))
 
     async def async_send(self, session: aiohttp.ClientSession, daemon: int) -> Outcome:
-        """Send one request and read its answer to the end."""
-        name = f"{self._kind.value}-{next(self._ids)}"
+        """Send one request and read its whole answer."""
+        request_id = f"{self._kind.value}-{next(self._ids)}"
         loop = asyncio.get_running_loop()
-        outcome = Outcome(name, self._kind, daemon, loop.time(), 0.0)
+        outcome = Outcome(request_id, self._kind, daemon, loop.time(), 0.0)
         address = self._deployment.address(daemon)
-        url = f"http://{address}:{FIRST_PORT}/{self._kind.value}/{name}"
+        url = f"http://{address}:{FIRST_PORT}/{self._kind.value}/{request_id}"
         headers = {
             "Host": "a.example",
-            "X-Request-Id": name,
+            "X-Request-Id": request_id,
             "X-Deadline-Ms": str(round(DEADLINE_S * 1000)),
         }
         if self._kind is RequestKind.STREAM:
             headers["X-Model"] = self._rng.choice(MODELS)
-            headers["X-Token-Count"] = f"10,{EVENTS}"
+            headers["X-Token-Count"] = f"10,{EVENTS_PER_STREAM}"
         status, body, is_whole = 0, b"", False
         try:
-            async with session.post(url, data=name.encode(), headers=headers) as answer:
+            async with session.post(
+                url, data=request_id.encode(), headers=headers
+            ) as answer:
                 status = answer.status
                 async for chunk in answer.content.iter_any():
                     body += chunk
@@ -113,5 +115,5 @@
 
 
 def count_statuses(outcomes: list[Outcome]) -> Counter[str]:
-    """Return how often each kind of request got each status."""
+    """Count outcomes by kind of request and status."""
     return Counter(f"{outcome.kind.value} {outcome.status}" for outcome in outcomes)
--- /dev/null
+++ b/soak/invariants.py
@@ -0,0 +1,56 @@
+"""Invariants that hold under all faults, checked from outside the daemons."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from .callers import EVENTS_PER_STREAM, Outcome, RequestKind
+
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee that a request has not run and will not run."""
+OK = 200
+DEADLINE_TOLERANCE_S = 1.5
+"""How long after its deadline a request may end, as test machines are busy."""
+
+
+def check_executions(outcomes: list[Outcome], executions: Counter[str]) -> list[str]:
+    """Report requests that ran more than once where forbidden, or despite a refusal."""
+    violations = [
+        f"{name} ran {count} times"
+        for name, count in executions.items()
+        if count > 1 and name.startswith(RequestKind.ONCE.value)
+    ]
+    violations += [
+        f"{outcome.id} was refused with {outcome.status} but ran"
+        for outcome in outcomes
+        if outcome.status in NOT_RUN_STATUSES and executions[outcome.id]
+    ]
+    return violations
+
+
+def check_answers(outcomes: list[Outcome]) -> list[str]:
+    """Report answers of another request, and truncated ones that look complete."""
+    return [
+        f"{outcome.id} was answered {outcome.body[:80]!r}"
+        for outcome in outcomes
+        if outcome.status == OK and not _is_expected(outcome)
+    ]
+
+
+def _is_expected(outcome: Outcome) -> bool:
+    expected = b"done " + outcome.id.encode()
+    if outcome.kind is RequestKind.STREAM:
+        events = (f"id: {n}\ndata: t{n}\n\n" for n in range(1, EVENTS_PER_STREAM + 1))
+        expected = "".join(events).encode()
+    # A truncated answer must be a prefix of the expected one.
+    is_prefix = expected.startswith(outcome.body)
+    return outcome.body == expected if outcome.is_whole else is_prefix
+
+
+def check_deadlines(outcomes: list[Outcome], deadline_s: float) -> list[str]:
+    """Report requests that ended too late; the caller leaves out frozen daemons."""
+    return [
+        f"{outcome.id} took {outcome.ended_s - outcome.began_s:.2f} s"
+        for outcome in outcomes
+        if outcome.ended_s - outcome.began_s > deadline_s + DEADLINE_TOLERANCE_S
+    ]
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,6 +1,6 @@
-"""What happens to a deployment and when, drawn from a seed. Pure.
+"""Fault plans: which faults are injected when, drawn from a seed. No I/O.
 
-A plan can be written down, played again, and cut down to the faults that are needed.
+A plan can be saved as JSON, run again, and shrunk to the faults that are needed.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 import msgspec
 
-GAP_S = 0.35
-"""Mean time between two faults; each lasts longer, so that they overlap."""
-MIN_FOR_S = 0.2
-MAX_FOR_S = 2.5
+MEAN_FAULT_INTERVAL_S = 0.35
+"""Mean time between the starts of faults; most last longer, so that they overlap."""
+MIN_FAULT_DURATION_S = 0.2
+MAX_FAULT_DURATION_S = 2.5
 BURST_S = 6.0
-"""Faults begin in stretches of this time, each followed by one without any."""
-CALM_S = 9.0
-"""Long enough for the last fault to end and for all bounds to hold again."""
-CALM_CHANGE_S = 6.0
-"""When in a calm stretch the configuration changes, which must then be in force."""
+"""Duration of a burst of faults; each burst is followed by a recovery period."""
+RECOVERY_S = 9.0
+"""Long enough for the last fault to end and for all bounds to apply again."""
+CONFIG_CHANGE_DELAY_S = 6.0
+"""Start of a configuration change in a recovery period, where its bound applies."""
 
 
 class FaultKind(Enum):
-    """What is done to a deployment from outside."""
+    """Kinds of faults, named by what is affected."""
 
     KILL = "kill"
     STOP = "stop"
@@ -33,18 +33,18 @@
     STORE_OUT = "store_out"
     STORE_SLOW = "store_slow"
     STORE_LOSES_REPLIES = "store_loses_replies"
-    STORE_FORGETS = "store_forgets"
+    STORE_DROPS_HISTORY = "store_forgets"
     STORE_RESTORED = "store_restored"
     LINKS_RESET = "links_reset"
     LINKS_SILENT = "links_silent"
     LINKS_SLOW = "links_slow"
     LINKS_ONE_WAY = "links_one_way"
     CONFIGURE = "configure"
-    ENDPOINT_ERRS = "endpoint_errs"
+    ENDPOINT_RETURNS_ERRORS = "endpoint_errs"
     ENDPOINT_REFUSES = "endpoint_refuses"
-    ENDPOINT_CUTS = "endpoint_cuts"
-    ENDPOINT_MUTE = "endpoint_mute"
-    ENDPOINT_SPOILS = "endpoint_spoils"
+    ENDPOINT_CUTS_STREAMS = "endpoint_cuts"
+    ENDPOINT_HANGS = "endpoint_mute"
+    ENDPOINT_RETURNS_WRONG_ID = "endpoint_spoils"
     ENDPOINT_LOSES_ORDERS = "endpoint_loses_orders"
     ENDPOINT_LEAVES = "endpoint_leaves"
     ENDPOINT_SAYS_LEAVING = "endpoint_says_leaving"
@@ -53,10 +53,10 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault, at a time from the start of the plan.
+    """One fault; ``at_s`` counts from the start of the plan.
 
-    ``target`` numbers a daemon or an endpoint, whichever the kind is about;
-    ``strength`` lies between 0 and 1.
+    ``target`` is the number of a daemon or an endpoint, depending on the kind.
+    ``strength`` is between 0 and 1.
     """
 
     at_s: float
@@ -67,41 +67,41 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """All faults of one run, in the order in which they begin."""
+    """All faults of one run, ordered by start time."""
 
     seed: int
     time_s: float
     faults: tuple[Fault, ...]
 
 
-def make_plan(seed: int, time_s: float, targets: int) -> Plan:
-    """Return the plan of a seed."""
+def make_plan(seed: int, time_s: float, target_count: int) -> Plan:
+    """Return the plan for a seed."""
     rng = random.Random(seed)
     faults = []
     start_s = 0.0
     while start_s < time_s:
-        faults += _make_burst(rng, start_s, targets)
-        change_s = start_s + BURST_S + CALM_CHANGE_S
+        faults += _make_burst(rng, start_s, target_count)
+        change_s = start_s + BURST_S + CONFIG_CHANGE_DELAY_S
         faults.append(Fault(change_s, FaultKind.CONFIGURE, 0, 0.0, 0.0))
-        start_s += BURST_S + CALM_S
+        start_s += BURST_S + RECOVERY_S
     kept = [fault for fault in faults if fault.at_s < time_s]
     return Plan(seed, time_s, tuple(kept))
 
 
-def _make_burst(rng: random.Random, start_s: float, targets: int) -> list[Fault]:
-    """Return the faults of one stretch."""
+def _make_burst(rng: random.Random, start_s: float, target_count: int) -> list[Fault]:
+    """Return the faults of one burst."""
     faults = []
-    at_s = start_s + rng.expovariate(1 / GAP_S)
+    at_s = start_s + rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
     while at_s < start_s + BURST_S:
         fault = Fault(
             at_s=round(at_s, 3),
             kind=rng.choice(list(FaultKind)),
-            target=rng.randrange(targets),
-            for_s=round(rng.uniform(MIN_FOR_S, MAX_FOR_S), 3),
+            target=rng.randrange(target_count),
+            for_s=round(rng.uniform(MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S), 3),
             strength=round(rng.random(), 3),
         )
         faults.append(fault)
-        at_s += rng.expovariate(1 / GAP_S)
+        at_s += rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
     return faults
 
 
@@ -110,16 +110,16 @@
 ) -> Plan:
     """Return a plan with fewer faults that still fails.
 
-    Leaves out runs of faults, long ones first, as long as what is left fails.
+    Removes ranges of faults, long ones first, as long as the remaining plan fails.
     """
     size = len(plan.faults) // 2
     while size:
         start = 0
         while start < len(plan.faults):
-            left = plan.faults[:start] + plan.faults[start + size :]
-            smaller = msgspec.structs.replace(plan, faults=left)
-            if await async_fails(smaller):
-                plan = smaller
+            remaining = plan.faults[:start] + plan.faults[start + size :]
+            candidate = msgspec.structs.replace(plan, faults=remaining)
+            if await async_fails(candidate):
+                plan = candidate
             else:
                 start += size
         size //= 2
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy before the store, whose connections can be disturbed."""
+"""A loopback proxy in front of the store that injects network faults."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 
 
 class StoreProxy(SilencingProxy):
-    """Delays what it passes on, loses one direction, or resets what is open.
+    """Delays data, drops one direction, or resets open connections.
 
     Attributes
     ----------
     delay_s : float
-        How long bytes are held back.
+        Delay of forwarded data.
     is_one_way : bool
-        Whether what the store answers is lost.
+        Whether the answers of the store are dropped.
     """
 
     def __init__(self, host: str, port: int, target: str) -> None:
         super().__init__(host, port, target)
         self.delay_s = 0.0
         self.is_one_way = False
-        self._open: set[asyncio.StreamWriter] = set()
+        self._open_writers: set[asyncio.StreamWriter] = set()
 
     def reset(self) -> None:
-        """Reset all connections that are open."""
-        for writer in list(self._open):
+        """Reset all open connections."""
+        for writer in list(self._open_writers):
             writer.transport.abort()
 
     async def _async_pass_both(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        self._open.add(writer)
+        self._open_writers.add(writer)
         try:
             await super()._async_pass_both(reader, writer)
         finally:
-            self._open.discard(writer)
+            self._open_writers.discard(writer)
 
     async def _async_forward(self, data: bytes, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(self.delay_s)
-        is_answer = writer in self._open
+        is_answer = writer in self._open_writers
         if not (is_answer and self.is_one_way):
             await super()._async_forward(data, writer)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: a deployment, its callers, the faults of a plan, and the verdict."""
+"""One soak run: a deployment, its callers, the injected faults and the result."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 )
 
 from .callers import DEADLINE_S, Caller, Outcome, RequestKind, count_statuses
-from .faults import FaultPlayer, own_prefix
+from .endpoint_signals import check_signals
+from .faults import FaultInjector, version_prefix
+from .invariants import OK, check_answers, check_deadlines, check_executions
 from .plan import FaultKind, Plan
-from .promises import OK, check_answers, check_ends, check_runs
 from .proxy import StoreProxy
-from .signals import check_signals
 
-CONTACT_S = 3.0
-"""After trouble a daemon has so long until bounds hold for it again."""
-CONFIG_BOUND_S = 2.0
-"""How soon an acknowledged configuration is in force, as deployed."""
-SETTLE_S = 20.0
-"""How soon all is served again once the faults are over."""
-PROBE_S = 0.1
-KINDS = (*RequestKind, *RequestKind)
-"""Two callers of each kind."""
+RECOVERY_GRACE_S = 3.0
+"""Time after a fault until bounds apply to a daemon again."""
+MAX_CONFIG_DELAY_S = 2.0
+"""How soon an acknowledged configuration must be in force in this deployment."""
+RECOVERY_TIMEOUT_S = 20.0
+"""How soon all requests must be served again after the last fault."""
+PROBE_INTERVAL_S = 0.1
+CALLER_KINDS = (*RequestKind, *RequestKind)
+"""Kinds of requests by caller: two callers of each kind."""
 
 
-class Verdict(msgspec.Struct):
-    """What a run showed."""
+class SoakResult(msgspec.Struct):
+    """Result of a run."""
 
     plan: Plan
     statuses: Counter[str]
@@ -42,87 +42,96 @@
 
 
 class SoakRun:
-    """Plays one plan against a deployment.
+    """Runs one plan against a deployment.
 
     Parameters
     ----------
     deployment : EntryDeployment
-        Daemons, store and endpoints, with a proxy before the store.
+        Daemons, store and endpoints, with a proxy in front of the store.
     daemons : int
-        How many daemons it has.
+        Number of daemons.
     plan : Plan
-        What happens.
+        Faults to inject.
     """
 
     def __init__(self, deployment: EntryDeployment, daemons: int, plan: Plan) -> None:
         self._deployment = deployment
         self._daemons = daemons
         self._plan = plan
-        self._player = FaultPlayer(deployment, daemons)
+        self._injector = FaultInjector(deployment, daemons)
         self._callers = [
             Caller(deployment, daemons, kind, 100 * plan.seed + number)
-            for number, kind in enumerate(KINDS)
+            for number, kind in enumerate(CALLER_KINDS)
         ]
         self._violations: list[str] = []
-        self._served: dict[tuple[int, int], int] = {}
-        """The newest version that each start of each daemon has served."""
+        self._newest_served: dict[tuple[int, int], int] = {}
+        """Newest version served, by daemon and its number of restarts."""
 
-    async def async_run(self) -> Verdict:
-        """Play the plan, let all settle, and judge."""
+    async def async_run(self) -> SoakResult:
+        """Inject the faults, wait for recovery and check the invariants."""
         tasks = [asyncio.ensure_future(c.async_run()) for c in self._callers]
         probes = [
             asyncio.ensure_future(self._async_probe(daemon))
             for daemon in range(self._daemons)
         ]
-        await self._player.async_play(self._plan)
+        await self._injector.async_inject_all(self._plan)
         for probe in probes:
             probe.cancel()
         for caller in self._callers:
-            caller.is_over = True
+            caller.is_stopping = True
         await asyncio.gather(*tasks)
-        await self._async_settle()
-        return await self._async_judge()
+        await self._async_wait_for_recovery()
+        return await self._async_evaluate()
 
     async def _async_probe(self, daemon: int) -> None:
-        """Ask a daemon again and again for the route of the newest version."""
+        """Probe a daemon periodically for the route of the newest version."""
         while True:
-            await asyncio.sleep(PROBE_S)
-            version, start = self._player.version, self._player.starts[daemon]
-            # Judged by the version that was the newest before and after.
+            await asyncio.sleep(PROBE_INTERVAL_S)
+            version, restart_count = (
+                self._injector.version,
+                self._injector.restart_counts[daemon],
+            )
+            # Valid only if no other version was written during the probe.
             status = await self._async_version_status(daemon, version)
-            is_same = version == self._player.version
-            if is_same and start == self._player.starts[daemon] and version > 1:
-                self._judge_version(daemon, start, version, status)
+            is_same = version == self._injector.version
+            if (
+                is_same
+                and restart_count == self._injector.restart_counts[daemon]
+                and version > 1
+            ):
+                self._check_version(daemon, restart_count, version, status)
 
     async def _async_version_status(self, daemon: int, version: int) -> int:
-        path, name = f"{own_prefix(version)}x", f"probe-{version}"
+        route_path, name = f"{version_prefix(version)}x", f"probe-{version}"
         try:
-            async with self._deployment.request(daemon, path, name) as answer:
+            async with self._deployment.request(daemon, route_path, name) as answer:
                 await answer.read()
                 return answer.status
         except FAILURES:
             return 0
 
-    def _judge_version(
-        self, daemon: int, start: int, version: int, status: int
+    def _check_version(
+        self, daemon: int, restart_count: int, version: int, status: int
     ) -> None:
-        key = (daemon, start)
+        key = (daemon, restart_count)
         if status == OK:
-            self._served[key] = version
+            self._newest_served[key] = version
         if status != 404:
             return
-        if self._served.get(key, 0) >= version:
-            self._violations.append(f"vm-{daemon} went back from {version}")
-        since_s = asyncio.get_running_loop().time() - self._player.configured_s
-        is_due = since_s > CONFIG_BOUND_S + PROBE_S
-        if is_due and self._player.is_calm(daemon, CONTACT_S):
-            late = f"vm-{daemon} does not know {version} after {since_s:.2f} s"
-            self._violations.append(late)
-
-    async def _async_settle(self) -> None:
-        """Wait until each daemon serves each kind, with the faults over."""
-
-        async def async_check() -> bool:
+        if self._newest_served.get(key, 0) >= version:
+            self._violations.append(f"vm-{daemon} stopped serving version {version}")
+        since_s = asyncio.get_running_loop().time() - self._injector.configured_s
+        is_overdue = since_s > MAX_CONFIG_DELAY_S + PROBE_INTERVAL_S
+        if is_overdue and self._injector.is_undisturbed(daemon, RECOVERY_GRACE_S):
+            message = (
+                f"vm-{daemon} does not serve version {version} after {since_s:.2f} s"
+            )
+            self._violations.append(message)
+
+    async def _async_wait_for_recovery(self) -> None:
+        """Wait after the last fault until each daemon serves each kind of request."""
+
+        async def async_all_served() -> bool:
             for caller in self._callers[: len(RequestKind)]:
                 for daemon in range(self._daemons):
                     session = self._deployment.session
@@ -133,30 +142,36 @@
             return True
 
         try:
-            await self._deployment.async_until(async_check, SETTLE_S)
+            await self._deployment.async_until(async_all_served, RECOVERY_TIMEOUT_S)
         except TimeoutError:
-            self._violations.append(f"not served again within {SETTLE_S} s")
+            self._violations.append(
+                f"requests not served again within {RECOVERY_TIMEOUT_S} s"
+            )
 
-    async def _async_judge(self) -> Verdict:
+    async def _async_evaluate(self) -> SoakResult:
         outcomes = [o for caller in self._callers for o in caller.outcomes]
         endpoints = await self._deployment.async_endpoints()
         runs = Counter(name for e in endpoints.values() for name in e["runs"])
-        self._violations += self._player.violations
-        self._violations += check_runs(outcomes, runs)
+        self._violations += self._injector.violations
+        self._violations += check_executions(outcomes, runs)
         self._violations += check_answers(outcomes)
-        self._violations += check_ends(self._unfrozen(outcomes), DEADLINE_S)
+        self._violations += check_deadlines(
+            self._at_unfrozen_daemons(outcomes), DEADLINE_S
+        )
         self._violations += check_signals(
-            self._player.signals,
+            self._injector.signals,
             endpoints,
-            self._player.disturbed_s,
+            self._injector.disturbances,
             self._daemons,
             len(self._callers),
         )
         faults = Counter(fault.kind.value for fault in self._plan.faults)
-        return Verdict(self._plan, count_statuses(outcomes), faults, self._violations)
+        return SoakResult(
+            self._plan, count_statuses(outcomes), faults, self._violations
+        )
 
-    def _unfrozen(self, outcomes: list[Outcome]) -> list[Outcome]:
-        """Return the requests to daemons that no freeze of the plan may have held."""
+    def _at_unfrozen_daemons(self, outcomes: list[Outcome]) -> list[Outcome]:
+        """Return the outcomes at daemons that the plan never freezes."""
         frozen = {
             fault.target % self._daemons
             for fault in self._plan.faults
@@ -165,8 +180,8 @@
         return [outcome for outcome in outcomes if outcome.daemon not in frozen]
 
 
-async def async_play(directory: Path, plan: Plan, daemons: int) -> Verdict:
-    """Start a deployment, play a plan against it, and end it."""
+async def async_run_plan(directory: Path, plan: Plan, daemons: int) -> SoakResult:
+    """Start a deployment, run a plan against it and stop it."""
     async with async_entry_deployment(
         directory, daemons, has_proxy=True, make_proxy=StoreProxy
     ) as deployment:
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, for tests and the demo only."""
+"""Simulated external systems for the tests and the demo."""
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""Stand-in for an engine endpoint, speaking HTTP, with faults over HTTP."""
+"""Stand-in for an engine endpoint with an HTTP API to inject faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from chutelink.fleet.model import Artifact
 
 from .engine import Engine, EngineOptions
-from .text import prompt_of
+from .text import extract_prompt
 from .web import (
     FAULTS_PATH,
     async_decode,
@@ -41,7 +41,7 @@
 
 
 class EndpointFaults(msgspec.Struct, frozen=True):
-    """Faults that a test switches on; the counts are used up one by one."""
+    """Injected faults; each affected call decrements its count."""
 
     lose_orders: int = 0
     lose_order_replies: int = 0
@@ -59,12 +59,12 @@
 
 
 class EndpointStandin:
-    """An engine behind HTTP."""
+    """Serves an engine over HTTP."""
 
     def __init__(
         self, options: EngineOptions, order_key: str, weights_url: str, load_s: float
     ) -> None:
-        self.engine = Engine(options, self._async_fetch)
+        self.engine = Engine(options, self._async_fetch_weights)
         self.faults = EndpointFaults()
         self._order_key = order_key
         self._weights_url = weights_url
@@ -84,8 +84,8 @@
         app.router.add_get("/standin/requests", self.async_requests)
         return app
 
-    async def _async_fetch(self, memory_mb: int) -> None:
-        """Fetch weights at the pace that the weight store allows."""
+    async def _async_fetch_weights(self, memory_mb: int) -> None:
+        """Wait for a load that the weight store rate-limits, or for a fixed time."""
         if not self._weights_url:
             await asyncio.sleep(self._load_s)
             return
@@ -105,60 +105,60 @@
                 await asyncio.sleep(retry_s)
         await asyncio.sleep(answer["duration_s"])
 
-    async def _async_while_frozen(self) -> None:
+    async def _async_wait_while_frozen(self) -> None:
         while self.faults.freeze:
             await asyncio.sleep(0.02)
 
-    def _use_up(self, field: str) -> bool:
+    def _consume_fault(self, field: str) -> bool:
         left = getattr(self.faults, field)
         if left <= 0:
             return False
         self.faults = msgspec.structs.replace(self.faults, **{field: left - 1})
         return True
 
-    async def _async_drop(self, request: web.Request) -> None:
+    async def _async_abort_connection(self, request: web.Request) -> None:
         if request.transport is not None:
             request.transport.abort()
         await asyncio.sleep(0)
         raise web.HTTPServiceUnavailable(text="dropped")
 
     async def async_report(self, request: web.Request) -> web.Response:
-        """Return the report."""
-        await self._async_while_frozen()
+        """Return the endpoint report."""
+        await self._async_wait_while_frozen()
         self.engine.is_leaving = self.faults.leaving
         response = json_response(self.engine.report())
         response.enable_compression()
         return response
 
     async def async_order(self, request: web.Request) -> web.Response:
-        """Take an order, with the faults in force."""
+        """Apply an order, subject to the injected faults."""
         if request.headers.get(HEADER_ORDER_KEY) != self._order_key:
             raise web.HTTPForbidden(text="order key missing or wrong")
         order = await async_decode(request, Order)
-        await self._async_while_frozen()
-        if self._use_up("lose_orders"):
-            await self._async_drop(request)
-        if self._use_up("late_orders"):
-            self._later(order)
-            await self._async_drop(request)
+        await self._async_wait_while_frozen()
+        if self._consume_fault("lose_orders"):
+            await self._async_abort_connection(request)
+        if self._consume_fault("late_orders"):
+            self._schedule_order(order)
+            await self._async_abort_connection(request)
         answer = self.engine.take_order(order)
-        if self._use_up("doubled_orders"):
-            self._later(order)
-        if self._use_up("lose_order_replies"):
-            await self._async_drop(request)
+        if self._consume_fault("doubled_orders"):
+            self._schedule_order(order)
+        if self._consume_fault("lose_order_replies"):
+            await self._async_abort_connection(request)
         return json_response(answer)
 
-    def _later(self, order: Order) -> None:
+    def _schedule_order(self, order: Order) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(self.faults.late_order_s, self.engine.take_order, order)
 
     async def async_complete(self, request: web.Request) -> web.StreamResponse:
-        """Serve a completion, streamed or whole."""
+        """Serve a completion, streamed or in one body."""
         body = msgspec.json.decode(await request.read())
         if not 0 <= body.get("temperature", 0) <= MAX_TEMPERATURE:
             raise web.HTTPBadRequest(text="temperature must be from 0 to 2")
         request_id = request.headers.get(HEADER_REQUEST_ID, "")
-        await self._async_while_frozen()
+        await self._async_wait_while_frozen()
         artifact = self.engine.find_loaded(
             body.get("model", ""), request.headers.get(HEADER_VERSION, "")
         )
@@ -168,30 +168,30 @@
             )
         if len(self._requests) < MAX_LOGGED_REQUESTS:
             self._requests.append(request_id)
-        if self._use_up("errors"):
+        if self._consume_fault("errors"):
             raise web.HTTPInternalServerError(text="engine error")
-        if self._use_up("wrong_ids"):
+        if self._consume_fault("wrong_ids"):
             request_id = "someone-else"
-        if self._use_up("late_answers"):
+        if self._consume_fault("late_answers"):
             await asyncio.sleep(self.faults.late_answer_s)
         if body.get("stream"):
             return await self._async_stream(request, body, artifact, request_id)
-        return await self._async_whole(request, body, artifact, request_id)
+        return await self._async_send_complete(request, body, artifact, request_id)
 
-    def _tokens(self, request: web.Request, body: dict, artifact: Artifact):
+    def _generate(self, request: web.Request, body: dict, artifact: Artifact):
         return self.engine.async_generate(
             artifact,
-            prompt_of(body),
+            extract_prompt(body),
             int(body.get("max_tokens", DEFAULT_MAX_TOKENS)),
             resume_from=int(request.headers.get(HEADER_RESUME_FROM, "0")),
             priority=int(request.headers.get(HEADER_PRIORITY, "5")),
         )
 
-    async def _async_whole(
+    async def _async_send_complete(
         self, request: web.Request, body: dict, artifact: Artifact, request_id: str
     ) -> web.Response:
-        cut = self._use_up("cut_answers")
-        parts = [token async for token in self._tokens(request, body, artifact)]
+        cut = self._consume_fault("cut_answers")
+        parts = [token async for token in self._generate(request, body, artifact)]
         text = "".join(parts)
         is_chat = "messages" in body
         choice: dict = {"index": 0, "finish_reason": "length"}
@@ -218,22 +218,22 @@
         response.content_length = len(payload)
         await response.prepare(request)
         await response.write(payload[: len(payload) // 2])
-        await self._async_drop(request)
+        await self._async_abort_connection(request)
         return response
 
     async def _async_stream(
         self, request: web.Request, body: dict, artifact: Artifact, request_id: str
     ) -> web.StreamResponse:
-        cut = self._use_up("cut_answers")
+        cut = self._consume_fault("cut_answers")
         response = web.StreamResponse(headers={HEADER_REQUEST_ID: request_id})
         response.content_type = "text/event-stream"
         await response.prepare(request)
         sent = 0
         key = "delta" if "messages" in body else "text"
-        async for token in self._tokens(request, body, artifact):
+        async for token in self._generate(request, body, artifact):
             if cut and sent >= self.faults.cut_after_tokens:
-                await self._async_drop(request)
-            await self._async_while_frozen()
+                await self._async_abort_connection(request)
+            await self._async_wait_while_frozen()
             value = {"content": token} if key == "delta" else token
             chunk = {
                 "id": request_id,
@@ -246,32 +246,34 @@
         return response
 
     async def async_faults(self, request: web.Request) -> web.Response:
-        """Switch faults on or off."""
+        """Change the injected faults."""
         self.faults = merge_faults(self.faults, await request.read())
         return json_response(self.faults)
 
     async def async_account(self, request: web.Request) -> web.Response:
-        """Return the engine's own account of its memory."""
+        """Return the engine's statistics on memory, orders and loads."""
         return json_response(self.engine.account)
 
     async def async_requests(self, request: web.Request) -> web.Response:
-        """Return the ids of all requests that reached the engine."""
+        """Return the ids of the requests that reached the engine."""
         return json_response(self._requests)
 
 
 def main() -> int:
-    """Run the stand-in."""
+    """Run the endpoint stand-in."""
     parser = make_parser("Stand-in for an engine endpoint.")
     parser.add_argument("--accelerators", type=int, default=1)
     parser.add_argument("--memory-mb", type=int, default=80_000)
     parser.add_argument("--slots", type=int, default=16)
-    parser.add_argument("--step-s", type=float, default=0.02, help="per token")
+    parser.add_argument("--step-s", type=float, default=0.02, help="seconds per token")
     parser.add_argument("--prefill-tokens-per-s", type=float, default=10_000.0)
     parser.add_argument("--ignore-fencing", action="store_true")
     parser.add_argument("--report-lag-s", type=float, default=0.2)
     parser.add_argument("--order-key", default="order-key")
-    parser.add_argument("--weights-url", default="", help="the weight store")
-    parser.add_argument("--load-s", type=float, default=0.2, help="without a store")
+    parser.add_argument("--weights-url", default="", help="URL of the weight store")
+    parser.add_argument(
+        "--load-s", type=float, default=0.2, help="load time without a weight store"
+    )
     args = parser.parse_args()
     options = EngineOptions(
         accelerators=args.accelerators,
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -20,7 +20,7 @@
 
 
 class StoreFaults(msgspec.Struct, frozen=True):
-    """Faults of the store; the counts are used up one by one."""
+    """Injected faults; each affected write decrements ``lose_replies``."""
 
     is_out: bool = False
     out_tables: tuple[str, ...] = ()
@@ -29,7 +29,7 @@
 
 
 class StoredRow(msgspec.Struct):
-    """A row as it lies in the store."""
+    """A row as it is stored."""
 
     table: str
     key: str
@@ -39,8 +39,8 @@
     tombstone: bool = False
 
 
-class StoreCopy(msgspec.Struct, frozen=True):
-    """What the store held at one moment."""
+class StoreSnapshot(msgspec.Struct, frozen=True):
+    """Snapshot of the store's contents."""
 
     rows: dict[tuple[str, str], StoredRow]
     history: tuple[StoredRow, ...]
@@ -48,9 +48,9 @@
 
 
 class MetadataStore:
-    """Rows with versions from one counter, and a bounded history.
+    """Rows versioned by one counter, with a bounded change history.
 
-    ``era`` is in all answers, and rises when the store comes back from a copy.
+    ``era`` is sent in all answers and increases when a snapshot is restored.
     """
 
     def __init__(self) -> None:
@@ -61,18 +61,18 @@
         self.calls = 0
         self.max_page_rows = MAX_PAGE_ROWS
         self.after_page: Callable[[], object] = lambda: None
-        """Called between one page of a read and the next."""
+        """Called after each page of a read, before the next one is requested."""
         self._history: deque[StoredRow] = deque(maxlen=MAX_KEPT_CHANGES)
-        self._forgotten = 0
-        self._changed = asyncio.Event()
+        self._oldest_readable_version = 0
+        self._change_event = asyncio.Event()
 
     def put(self, table: str, key: str, value: object) -> int:
-        """Write a row as the operators and endpoints do."""
+        """Write a row with a value encoded as operators and endpoints do."""
         data = base64.b64encode(json.dumps(value).encode()).decode()
         return self._commit([(table, key, data)])
 
     def put_raw(self, table: str, key: str, text: str) -> int:
-        """Write a row whose value need not be base64, nor mean anything."""
+        """Write a row with a raw value, which may be invalid base64 or JSON."""
         return self._commit([(table, key, text)])
 
     def remove(self, table: str, key: str) -> int:
@@ -80,23 +80,23 @@
         return self._commit([(table, key, None)])
 
     def forget_history(self) -> None:
-        """Drop all changes so far."""
+        """Drop the change history."""
         self._history.clear()
-        self._forgotten = self.version
+        self._oldest_readable_version = self.version
 
-    def copy(self) -> StoreCopy:
-        """Return what the store holds now."""
-        return StoreCopy(dict(self.rows), tuple(self._history), self.version)
+    def copy(self) -> StoreSnapshot:
+        """Return a snapshot of the current contents."""
+        return StoreSnapshot(dict(self.rows), tuple(self._history), self.version)
 
-    def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone."""
+    def restore(self, copy: StoreSnapshot) -> None:
+        """Restore a snapshot; writes made since are lost."""
         self.rows = dict(copy.rows)
         self.version = copy.version
         self._history.clear()
         self._history.extend(copy.history)
-        self._forgotten = min(self._forgotten, copy.version)
+        self._oldest_readable_version = min(self._oldest_readable_version, copy.version)
         self.era += 1
-        self._signal()
+        self._notify_waiters()
 
     def _commit(self, changes: list[tuple[str, str, str | None]]) -> int:
         self.version += 1
@@ -108,30 +108,32 @@
             else:
                 self.rows[table, key] = row
             self._history.append(row)
-        self._signal()
+        self._notify_waiters()
         return self.version
 
-    def _signal(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _notify_waiters(self) -> None:
+        self._change_event.set()
+        self._change_event = asyncio.Event()
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the store's calls."""
+        """Add the store's routes."""
         app.router.add_get("/api/rows-get", self.async_get)
         app.router.add_get("/api/rows-feed", self.async_feed)
         app.router.add_post("/api/rows-tx", self.async_transact)
         app.router.add_post(FAULTS_PATH, self.async_faults)
-        app.on_response_prepare.append(self._async_sign)
+        app.on_response_prepare.append(self._async_add_era_header)
 
-    async def _async_sign(self, request: web.Request, answer: web.Response) -> None:
+    async def _async_add_era_header(
+        self, request: web.Request, answer: web.Response
+    ) -> None:
         answer.headers[HEADER_ERA] = str(self.era)
 
     async def async_faults(self, request: web.Request) -> web.Response:
-        """Switch faults on or off."""
+        """Change the injected faults."""
         self.faults = merge_faults(self.faults, await request.read())
         return json_response(self.faults)
 
-    async def _async_degrade(self, table: str = "") -> None:
+    async def _async_apply_faults(self, table: str = "") -> None:
         self.calls += 1
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
@@ -140,51 +142,51 @@
 
     async def async_get(self, request: web.Request) -> web.Response:
         """Return the rows of a range of keys."""
-        await self._async_degrade(request.query["table"])
+        await self._async_apply_faults(request.query["table"])
         table = request.query["table"]
-        first = request.query.get("from", "")
-        end = request.query.get("to", "\U0010ffff" * 4)
+        first_key = request.query.get("from", "")
+        end_key = request.query.get("to", "\U0010ffff" * 4)
         rows = [
             row
             for (name, key), row in sorted(self.rows.items())
-            if name == table and first <= key < end
+            if name == table and first_key <= key < end_key
         ]
-        page = self._page(rows[: self.max_page_rows])
+        page = self._make_page(rows[: self.max_page_rows])
         page["truncated"] = len(rows) > self.max_page_rows
         answer = json_response(page)
         self.after_page()
         return answer
 
     async def async_feed(self, request: web.Request) -> web.Response:
-        """Return changes of a table, waiting for the first one."""
-        await self._async_degrade(request.query["table"])
+        """Return the changes of a table, waiting if there are none yet."""
+        await self._async_apply_faults(request.query["table"])
         after = int(request.query["after"])
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + int(request.query.get("wait_ms", "0")) / 1000
+        deadline_s = loop.time() + int(request.query.get("wait_ms", "0")) / 1000
         while True:
-            if after < self._forgotten or after > self.version:
+            if after < self._oldest_readable_version or after > self.version:
                 return web.Response(status=410)
             changed = [
                 row
                 for row in self._history
                 if row.ver > after and row.table == request.query["table"]
             ]
-            left_s = end_s - loop.time()
-            if changed or left_s <= 0:
-                return json_response(self._page(changed))
-            event = self._changed
+            remaining_s = deadline_s - loop.time()
+            if changed or remaining_s <= 0:
+                return json_response(self._make_page(changed))
+            event = self._change_event
             try:
-                await asyncio.wait_for(event.wait(), left_s)
+                await asyncio.wait_for(event.wait(), remaining_s)
             except TimeoutError:
                 continue
 
-    def _page(self, rows: list[StoredRow]) -> dict[str, object]:
+    def _make_page(self, rows: list[StoredRow]) -> dict[str, object]:
         now_ms = round(time.monotonic() * 1000)
         return {"rows": rows, "ver": self.version, "now_ms": now_ms}
 
     async def async_transact(self, request: web.Request) -> web.Response:
-        """Apply all entries or none."""
-        await self._async_degrade()
+        """Apply all entries atomically if all checks hold."""
+        await self._async_apply_faults()
         body = json.loads(await request.read())
         for check in body["expected_rev"]:
             row = self.rows.get((check["table"], check["key"]))
--- a/standins/prepared.py
+++ b/standins/prepared.py
@@ -1,7 +1,7 @@
 """Stand-in for the prepared machines: their store and endpoints in one process.
 
-Each endpoint has a port of its own; faults are switched on over HTTP. It speaks
-the protocols that chutelink/platform/ speaks.
+Each endpoint listens on a port of its own, and faults are injected over HTTP.
+chutelink/platform/ implements the client side of the same protocols.
 """
 
 from __future__ import annotations
@@ -11,35 +11,35 @@
 
 from aiohttp import web
 
-from .metadata_store import MetadataStore, StoreCopy
+from .metadata_store import MetadataStore, StoreSnapshot
 from .prepared_config import make_config
 from .prepared_endpoint import EndpointStandin
 from .web import json_response, make_parser, merge_faults, serve
 
-WRITE_AGAIN_S = 0.5
-"""How soon operators and endpoints write again what the store has lost."""
+REWRITE_DELAY_S = 0.5
+"""Delay after which operators and endpoints rewrite rows that the store has lost."""
 
 
 class PreparedMachines:
-    """The store and its endpoints in one process."""
+    """The metadata store and its endpoints."""
 
     def __init__(self) -> None:
         self.store = MetadataStore()
         self.endpoints: dict[str, EndpointStandin] = {}
         self._servers: dict[str, asyncio.Server] = {}
         self._handlers: dict[str, web.Server] = {}
-        self._restarts: set[asyncio.Task[None]] = set()
+        self._restart_tasks: set[asyncio.Task[None]] = set()
         self.away_s = 0.3
-        """How long an endpoint is away that a request has ended."""
+        """How long an endpoint stays down after a request has crashed it."""
         self.config: dict | None = None
-        """What the operators wrote last."""
+        """The configuration that the operators wrote last."""
 
     async def async_add(self, endpoint: EndpointStandin, host: str) -> None:
-        """Start an endpoint at a free port and register it."""
+        """Start an endpoint on a free port and register it."""
         server = await self._async_listen(endpoint, host, 0)
         port = server.sockets[0].getsockname()[1]
         endpoint.address = f"{host}:{port}"
-        endpoint.on_deadly = self.end
+        endpoint.on_crash = self.crash
         self.endpoints[endpoint.name] = endpoint
         self.register(endpoint.name)
 
@@ -47,22 +47,22 @@
         self, endpoint: EndpointStandin, host: str, port: int
     ) -> asyncio.Server:
         loop = asyncio.get_running_loop()
-        make = endpoint.make_server()
-        server = await loop.create_server(make, host, port, reuse_address=True)
+        http_server = endpoint.make_server()
+        server = await loop.create_server(http_server, host, port, reuse_address=True)
         self._servers[endpoint.name] = server
-        self._handlers[endpoint.name] = make
+        self._handlers[endpoint.name] = http_server
         return server
 
-    def end(self, endpoint: EndpointStandin) -> None:
-        """End an endpoint with all its connections; it is back after a while."""
+    def crash(self, endpoint: EndpointStandin) -> None:
+        """Crash an endpoint with all its connections and schedule its restart."""
         self._servers[endpoint.name].close()
         for handler in self._handlers[endpoint.name].connections:
             if handler.transport is not None:
                 handler.transport.abort()
         endpoint.restart()
         task = asyncio.ensure_future(self._async_restart(endpoint))
-        self._restarts.add(task)
-        task.add_done_callback(self._restarts.discard)
+        self._restart_tasks.add(task)
+        task.add_done_callback(self._restart_tasks.discard)
 
     async def _async_restart(self, endpoint: EndpointStandin) -> None:
         await asyncio.sleep(self.away_s)
@@ -71,40 +71,40 @@
         self.register(endpoint.name)
 
     def register(self, name: str) -> None:
-        """Write an endpoint's registration."""
+        """Write an endpoint's registration to the store."""
         self.store.put("servers", name, self.endpoints[name].registration())
 
     def configure(self, config: dict) -> int:
-        """Write a configuration as the operators do."""
+        """Write a configuration as the operators do and return its row version."""
         self.config = config
         return self.store.put("op", "config", config)
 
-    async def async_restore(self, copy: StoreCopy) -> None:
-        """Let the store come back from a copy; others write again what is lost."""
+    async def async_restore(self, copy: StoreSnapshot) -> None:
+        """Restore a store snapshot, then rewrite configuration and registrations."""
         self.store.restore(copy)
-        await asyncio.sleep(WRITE_AGAIN_S)
+        await asyncio.sleep(REWRITE_DELAY_S)
         if self.config is not None:
             self.configure(self.config)
         for name in self.endpoints:
             self.register(name)
 
     async def async_close(self) -> None:
-        """Stop all endpoints."""
-        for task in self._restarts:
+        """Cancel pending restarts and stop all endpoints."""
+        for task in self._restart_tasks:
             task.cancel()
         for server in self._servers.values():
             server.close()
 
 
 class StandinControl:
-    """Calls by which a test in another process changes what is there."""
+    """HTTP API by which a test in another process controls the stand-in."""
 
     def __init__(self, machines: PreparedMachines) -> None:
         self._machines = machines
-        self._copy: StoreCopy | None = None
+        self._snapshot: StoreSnapshot | None = None
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the calls."""
+        """Add the routes of the API."""
         app.router.add_put("/standin/config", self.async_config)
         app.router.add_post("/standin/endpoints/{name}", self.async_endpoint)
         app.router.add_get("/standin/endpoints", self.async_list)
@@ -121,7 +121,7 @@
         return json_response({"ver": version})
 
     async def async_endpoint(self, request: web.Request) -> web.Response:
-        """Switch an endpoint's faults, or its state."""
+        """Change an endpoint's injected faults or its state."""
         endpoint = self._machines.endpoints[request.match_info["name"]]
         state = request.query.get("state")
         if state is not None:
@@ -131,7 +131,7 @@
         return json_response(endpoint.faults)
 
     async def async_list(self, request: web.Request) -> web.Response:
-        """Return what each endpoint has run and was ordered."""
+        """Return the runs, orders, models and event times of each endpoint."""
         return json_response(
             {
                 name: {
@@ -140,16 +140,16 @@
                     "models": e.models,
                     "cancelled": e.cancelled,
                     "ends": e.ends,
-                    "deadly_s": e.deadly_s,
+                    "deadly_s": e.crash_runs_s,
                     "arrived_s": e.arrived_s,
-                    "told_s": e.told_s,
+                    "told_s": e.signaled_s,
                 }
                 for name, e in self._machines.endpoints.items()
             }
         )
 
     async def async_put_row(self, request: web.Request) -> web.Response:
-        """Write a row as another program would; the body is the value as it lies."""
+        """Write a row as another program would; the body is the raw stored value."""
         table, key = request.match_info["table"], request.match_info["key"]
         version = self._machines.store.put_raw(table, key, await request.text())
         return json_response({"ver": version})
@@ -160,19 +160,19 @@
         return json_response({"ver": self._machines.store.remove(table, key)})
 
     async def async_copy(self, request: web.Request) -> web.Response:
-        """Keep what the store holds now."""
-        self._copy = self._machines.store.copy()
-        return json_response({"ver": self._copy.version})
+        """Keep a snapshot of the store."""
+        self._snapshot = self._machines.store.copy()
+        return json_response({"ver": self._snapshot.version})
 
     async def async_restore(self, request: web.Request) -> web.Response:
-        """Let the store come back from the copy that was kept; return when all is."""
-        if self._copy is None:
+        """Restore the snapshot; return once all rows are rewritten."""
+        if self._snapshot is None:
             return json_response({"error": "no copy was kept"}, status=409)
-        await self._machines.async_restore(self._copy)
+        await self._machines.async_restore(self._snapshot)
         return json_response({"era": self._machines.store.era})
 
     async def async_forget(self, request: web.Request) -> web.Response:
-        """Drop the store's history."""
+        """Drop the store's change history."""
         self._machines.store.forget_history()
         return json_response({})
 
@@ -198,7 +198,7 @@
 
 
 def main() -> int:
-    """Run the stand-in."""
+    """Run the stand-in for the prepared machines."""
     parser = make_parser("Stand-in for the prepared machines' platform.")
     args = parser.parse_args()
     return serve(_make_app(args.address), args.address, args.port)
--- a/standins/prepared_config.py
+++ b/standins/prepared_config.py
@@ -9,10 +9,10 @@
     anonymous: tuple[str, ...] = (),
     **changes: object,
 ) -> dict:
-    """Return an operators' configuration with one route for each kind.
+    """Return an operator configuration with one route of each kind.
 
-    ``services`` has the name of the service of each of ``llm`` and ``plain``;
-    routes that are named as ``anonymous`` need no key.
+    ``services`` maps ``llm`` and ``plain`` to the names of their services. Routes
+    listed in ``anonymous`` need no API key. ``changes`` replaces top-level fields.
     """
     engine = {
         "slots": 8,
--- a/standins/prepared_endpoint.py
+++ b/standins/prepared_endpoint.py
@@ -14,27 +14,28 @@
 
 from .web import json_response
 
-STEP_S = 0.005
+TOKEN_INTERVAL_S = 0.005
 DEADLY = b"deadly"
-"""A body that ends each endpoint that begins to run it."""
-END_DELAY_S = 0.02
-"""How long such a request runs before it ends its endpoint."""
-NOT_RUN = {"X-Not-Executed": "1"}
+"""A request body that crashes every endpoint that runs it."""
+CRASH_DELAY_S = 0.02
+"""How long such a request runs before it crashes the endpoint."""
+NOT_RUN_HEADERS = {"X-Not-Executed": "1"}
 
 
-def reset(request: web.BaseRequest) -> None:
-    """Reset a connection instead of closing it."""
+def reset_connection(request: web.BaseRequest) -> None:
+    """Reset the connection (TCP RST) instead of closing it."""
     sock = request.transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     request.transport.abort()
 
 
 class EndpointFaults(msgspec.Struct, frozen=True):
-    """Faults of one endpoint; the counts are used up one by one.
+    """Injected faults of one endpoint; each affected call decrements its count.
 
-    ``limit_per_s`` is named in all answers; 0 names no limit. ``says_leaving`` lets all
-    answers say that the endpoint leaves, whatever its registration says. ``pause_s``
-    turns all requests away and asks for a pause; 0 turns none away.
+    ``limit_per_s`` is announced in all answers; 0 announces no limit.
+    ``says_leaving`` makes all answers announce that the endpoint is leaving, whatever
+    its registration says. ``pause_s`` rejects all requests and asks for a pause of
+    this length; 0 rejects none.
     """
 
     refuse: int = 0
@@ -56,13 +57,13 @@
     Parameters
     ----------
     name : str
-        Its id.
+        Id of the endpoint.
     service : str
-        The service that it belongs to.
+        Name of its service.
     models : dict
         Resident models with their adapters.
     load_s : float
-        How long a load takes.
+        Duration of a model load.
     """
 
     def __init__(
@@ -80,24 +81,24 @@
         self.runs: list[str] = []
         self.seen: list[dict[str, str]] = []
         self.arrived_s: list[float] = []
-        """When requests arrived, on the clock of the process."""
-        self.told_s: list[float] = []
-        """When whole answers spoke of the endpoint, on the same clock."""
+        """Arrival times of requests, on the monotonic clock of the process."""
+        self.signaled_s: list[float] = []
+        """When answers without a stream carried signal headers, on the same clock."""
         self.orders: list[dict] = []
         self.cancelled: list[str] = []
         self.ends = 0
-        self.deadly_s: list[float] = []
-        """When runs began that were to end it, on the clock of the process."""
+        self.crash_runs_s: list[float] = []
+        """Start times of runs that crashed it, on the clock of the process."""
         self.born_ms: int | None = None
-        self.on_deadly: Callable[[EndpointStandin], None] = lambda endpoint: None
-        """Called when a request that ends its endpoint has run for a moment."""
+        self.on_crash: Callable[[EndpointStandin], None] = lambda endpoint: None
+        """Called when a request crashes the endpoint."""
 
     def make_server(self) -> web.Server:
         """Return the HTTP server."""
         return web.Server(self.async_handle, handler_cancellation=True)
 
     def registration(self) -> dict[str, object]:
-        """Return what it registers of itself."""
+        """Return the content of its registration."""
         return {
             "service": self.service,
             "address": self.address,
@@ -107,26 +108,26 @@
             "state": self.state,
             "models": self._model_list(),
             "seq": self.sequence,
-        } | self._born()
+        } | self._start_time_fields()
 
     def change_state(self, state: str) -> None:
-        """Register another state; a process that was leaving never takes it back."""
+        """Change the state; a draining endpoint becomes ready only as a new process."""
         if self.state == "draining" and state == "ready":
-            self._begin_process()
+            self._start_new_process()
         self.state = state
 
-    def _begin_process(self) -> None:
+    def _start_new_process(self) -> None:
         self.born_ms = time.time_ns() // 1_000_000
 
     def restart(self) -> None:
-        """Forget everything: a new process begins, under the same id."""
+        """Reset the state, as a new process under the same id would."""
         self.ends += 1
-        self._begin_process()
+        self._start_new_process()
         self.sequence = 0
         self.is_busy = False
         self.models = {name: [] for name in self.models}
 
-    def _born(self) -> dict[str, int]:
+    def _start_time_fields(self) -> dict[str, int]:
         return {} if self.born_ms is None else {"born": self.born_ms}
 
     def _model_list(self) -> list[dict[str, object]]:
@@ -135,7 +136,7 @@
             for name, adapters in self.models.items()
         ]
 
-    def _use_up(self, field: str) -> bool:
+    def _consume_fault(self, field: str) -> bool:
         left = getattr(self.faults, field)
         if left <= 0:
             return False
@@ -143,7 +144,7 @@
         return True
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a report, an order or a request."""
+        """Answer a call for a report, an order or a request."""
         if request.headers.get("X-Expect-Instance", self.name) != self.name:
             return web.Response(status=421, headers={"X-Instance-Id": self.name})
         if request.path == "/api/report":
@@ -153,8 +154,8 @@
         self.arrived_s.append(time.monotonic())
         return await self._async_run(request)
 
-    def _signals(self) -> dict[str, str]:
-        """Return the headers by which all answers speak of the endpoint."""
+    def _signal_headers(self) -> dict[str, str]:
+        """Return the headers that announce a rate limit or departure in answers."""
         limit_per_s = self.faults.limit_per_s
         signals = {"Server-Limit": str(limit_per_s)} if limit_per_s else {}
         if self.faults.says_leaving:
@@ -167,11 +168,11 @@
             "busy": self.is_busy,
             "seq": self.sequence,
             "at_hand": {"in_memory": [], "on_disk": []},
-        } | self._born()
+        } | self._start_time_fields()
 
     async def _async_order(self, request: web.BaseRequest) -> web.Response:
         order = json.loads(await request.read())
-        if self._use_up("cut_orders"):
+        if self._consume_fault("cut_orders"):
             request.transport.abort()
             return web.Response(status=503)
         if self.is_busy or order.get("expected_rev", self.sequence) != self.sequence:
@@ -179,19 +180,19 @@
         self.orders.append(order)
         self.sequence += 1
         if "adapter" in order:
-            held = self.models[order["model"]]
+            adapters = self.models[order["model"]]
             if order["op"] == "load":
-                held.append(order["adapter"])
+                adapters.append(order["adapter"])
                 return web.Response(status=202)
-            held.remove(order["adapter"])
+            adapters.remove(order["adapter"])
             return web.Response(status=200)
         self.is_busy = True
         delay_s = self.load_s if order["op"] == "load" else 0.0
         loop = asyncio.get_running_loop()
-        loop.call_later(delay_s, self._finish, order)
+        loop.call_later(delay_s, self._complete_order, order)
         return web.Response(status=202)
 
-    def _finish(self, order: dict) -> None:
+    def _complete_order(self, order: dict) -> None:
         self.is_busy = False
         if order["op"] == "load":
             self.models.setdefault(order["model"], [])
@@ -207,52 +208,56 @@
             return web.Response(status=421)
         if model and model not in self.models:
             return web.Response(status=421)
-        if self._use_up("refuse"):
-            return web.Response(status=503, headers=NOT_RUN | self._signals())
+        if self._consume_fault("refuse"):
+            return web.Response(
+                status=503, headers=NOT_RUN_HEADERS | self._signal_headers()
+            )
         if self.faults.pause_s:
-            return self._ask_for_pause()
+            return self._reject_with_pause()
         self.runs.append(request_id)
         if body == DEADLY:
-            self.deadly_s.append(time.monotonic())
-            await asyncio.sleep(END_DELAY_S)
-            self.on_deadly(self)
+            self.crash_runs_s.append(time.monotonic())
+            await asyncio.sleep(CRASH_DELAY_S)
+            self.on_crash(self)
         headers = {"X-Request-Id": request_id, "X-Server-Seal": f"seal-{self.name}"}
-        headers |= self._signals()
-        if self._use_up("foreign"):
+        headers |= self._signal_headers()
+        if self._consume_fault("foreign"):
             headers["X-Request-Id"] = "another"
-        if self._use_up("mute"):
-            await self._async_until_cancelled(request_id)
-        if self._use_up("errors"):
+        if self._consume_fault("mute"):
+            await self._async_hang(request_id)
+        if self._consume_fault("errors"):
             return web.Response(status=500, body=b"own error", headers=headers)
-        if self._use_up("reset_unframed"):
-            return await self._async_reset(request, headers)
+        if self._consume_fault("reset_unframed"):
+            return await self._async_reset_unframed(request, headers)
         if model:
             return await self._async_stream(request, headers)
-        if self._signals():
-            self.told_s.append(time.monotonic())
+        if self._signal_headers():
+            self.signaled_s.append(time.monotonic())
         return web.Response(body=b"done " + body, headers=headers)
 
-    def _ask_for_pause(self) -> web.Response:
-        self.told_s.append(time.monotonic())
+    def _reject_with_pause(self) -> web.Response:
+        self.signaled_s.append(time.monotonic())
         pause = {"Retry-After": str(self.faults.pause_s)}
-        return web.Response(status=503, headers=NOT_RUN | pause | self._signals())
+        return web.Response(
+            status=503, headers=NOT_RUN_HEADERS | pause | self._signal_headers()
+        )
 
-    async def _async_until_cancelled(self, request_id: str) -> None:
+    async def _async_hang(self, request_id: str) -> None:
         try:
             await asyncio.sleep(3600)
         except asyncio.CancelledError:
             self.cancelled.append(request_id)
             raise
 
-    async def _async_reset(
+    async def _async_reset_unframed(
         self, request: web.BaseRequest, headers: dict[str, str]
     ) -> web.StreamResponse:
-        """Answer without a length, then reset the connection."""
+        """Send part of an answer without a length, then reset the connection."""
         lines = [f"{name}: {value}" for name, value in headers.items()]
         head = "\r\n".join(["HTTP/1.1 200 OK", *lines, "Connection: close"])
         request.transport.write(head.encode() + b"\r\n\r\nhalf of")
         await asyncio.sleep(0.05)
-        reset(request)
+        reset_connection(request)
         return web.Response()
 
     async def _async_stream(
@@ -266,11 +271,11 @@
         cut = self.faults.cut_after_events if self.faults.cuts else 0
         try:
             for number in range(first, total + 1):
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(TOKEN_INTERVAL_S)
                 if cut and number > cut:
-                    self._use_up("cuts")
+                    self._consume_fault("cuts")
                     await response.write(b"id: 9")
-                    reset(request)
+                    reset_connection(request)
                     return response
                 await response.write(f"id: {number}\ndata: t{number}\n\n".encode())
         except asyncio.CancelledError:
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: permits and alarms that must run at most once."""
+"""Stand-in for a plain service whose calls (permits, alarms) run at most once."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ServiceFaults(msgspec.Struct, frozen=True):
-    """Faults that a test switches on; the counts are used up one by one."""
+    """Injected faults; each affected call decrements its count."""
 
     delay_s: float = 0.0
     cut_answers: int = 0
@@ -23,7 +23,7 @@
 
 
 class Execution(msgspec.Struct, frozen=True):
-    """One run of a call that must not be repeated."""
+    """One execution of a call that must not be repeated."""
 
     request_id: str
     idempotency_key: str
@@ -32,7 +32,7 @@
 
 
 class ServiceStandin:
-    """Counts every execution; the count is the judge of at-most-once."""
+    """Records every execution, which lets tests verify at-most-once execution."""
 
     def __init__(self) -> None:
         self.faults = ServiceFaults()
@@ -49,19 +49,19 @@
         return app
 
     async def async_health(self, request: web.Request) -> web.Response:
-        """Say that the service is up."""
+        """Answer a health check."""
         while self.faults.freeze:
             await asyncio.sleep(0.02)
         return json_response({"status": "ok"})
 
     async def async_handle(self, request: web.Request) -> web.Response:
-        """Run a call and answer with what it did."""
+        """Execute a call and answer with its details."""
         body = (await request.read()).decode(errors="replace")
         request_id = request.headers.get(HEADER_REQUEST_ID, "")
         while self.faults.freeze:
             await asyncio.sleep(0.02)
-        if self._use_up("cut_before_run"):
-            self._drop(request)
+        if self._consume_fault("cut_before_run"):
+            self._abort_connection(request)
         if request.method == "GET":
             self.lookups += 1
         else:
@@ -70,9 +70,9 @@
             self.executions.append(run)
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
-        if self._use_up("cut_answers"):
-            self._drop(request)
-        if self._use_up("wrong_ids"):
+        if self._consume_fault("cut_answers"):
+            self._abort_connection(request)
+        if self._consume_fault("wrong_ids"):
             request_id = "someone-else"
         answer = {
             "path": request.path,
@@ -84,29 +84,29 @@
         response.headers[HEADER_REQUEST_ID] = request_id
         return response
 
-    def _use_up(self, field: str) -> bool:
+    def _consume_fault(self, field: str) -> bool:
         left = getattr(self.faults, field)
         if left <= 0:
             return False
         self.faults = msgspec.structs.replace(self.faults, **{field: left - 1})
         return True
 
-    def _drop(self, request: web.Request) -> None:
+    def _abort_connection(self, request: web.Request) -> None:
         if request.transport is not None:
             request.transport.abort()
         raise web.HTTPServiceUnavailable(text="dropped")
 
     async def async_faults(self, request: web.Request) -> web.Response:
-        """Switch faults on or off."""
+        """Change the injected faults."""
         self.faults = merge_faults(self.faults, await request.read())
         return json_response(self.faults)
 
     async def async_executions(self, request: web.Request) -> web.Response:
-        """Return every execution, in order."""
+        """Return all executions in order."""
         return json_response(self.executions)
 
 
 def main() -> int:
-    """Run the stand-in."""
+    """Run the service stand-in."""
     args = make_parser("Stand-in for a plain service.").parse_args()
     return serve(ServiceStandin().make_app(), args.address, args.port)
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: command line, serving, and switching faults on."""
+"""Shared parts of the stand-ins: command line, HTTP server, fault settings."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def make_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser with the options that all stand-ins have."""
+    """Return a parser with the options that all stand-ins share."""
     parser = argparse.ArgumentParser(description=description)
-    parser.add_argument("--address", default="127.0.0.1", help="IP number to bind")
+    parser.add_argument("--address", default="127.0.0.1", help="IP address to bind")
     parser.add_argument("--port", type=int, required=True, help="port to bind")
     return parser
 
@@ -33,7 +33,7 @@
 
 
 async def async_decode(request: web.Request, kind: type[StructT]) -> StructT:
-    """Return the body as a struct; a malformed one is answered with 400."""
+    """Decode the body into a struct; answer a malformed body with status 400."""
     try:
         return msgspec.json.decode(await request.read(), type=kind)
     except msgspec.MsgspecError as error:
@@ -41,7 +41,7 @@
 
 
 def merge_faults(current: StructT, changes: bytes) -> StructT:
-    """Return the faults with the given fields changed."""
+    """Return a copy of the faults with the fields of a JSON object applied."""
     values = msgspec.structs.asdict(current)
     values.update(msgspec.json.decode(changes, type=dict))
     return msgspec.convert(values, type(current))
@@ -62,6 +62,6 @@
 
 
 def serve(app: web.Application, address: str, port: int) -> int:
-    """Serve until SIGTERM or SIGINT; return the exit code."""
+    """Serve until SIGTERM or SIGINT and return the exit code."""
     asyncio.run(_async_serve(app, address, port))
     return 0
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each check finds what it is for."""
+"""Tests that each invariant check reports the violations it is meant for."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 import pytest
 
-from soak.callers import EVENTS, Outcome, RequestKind
-from soak.promises import check_answers, check_ends, check_runs
+from soak.callers import EVENTS_PER_STREAM, Outcome, RequestKind
+from soak.invariants import check_answers, check_deadlines, check_executions
 
-STREAM = "".join(f"id: {n}\ndata: t{n}\n\n" for n in range(1, EVENTS + 1)).encode()
+STREAM = "".join(
+    f"id: {n}\ndata: t{n}\n\n" for n in range(1, EVENTS_PER_STREAM + 1)
+).encode()
 
 
 def make_outcome(name: str, status: int, body: bytes = b"", **changes) -> Outcome:
@@ -19,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "status", "runs", "is_found"),
+    ("name", "status", "runs", "has_violation"),
     [
         ("once-1", 200, 1, False),
         ("once-1", 200, 2, True),
@@ -30,13 +32,13 @@
         ("once-1", 502, 1, False),
     ],
 )
-def test_runs_that_may_not_be(name, status, runs, is_found):
-    found = check_runs([make_outcome(name, status)], Counter({name: runs}))
-    assert bool(found) is is_found
+def test_check_executions_finds_forbidden_runs(name, status, runs, has_violation):
+    violations = check_executions([make_outcome(name, status)], Counter({name: runs}))
+    assert bool(violations) is has_violation
 
 
 @pytest.mark.parametrize(
-    ("name", "body", "is_whole", "is_found"),
+    ("name", "body", "is_whole", "has_violation"),
     [
         ("again-1", b"done again-1", True, False),
         ("again-1", b"done again-2", True, True),
@@ -48,11 +50,13 @@
         ("stream-1", STREAM[:10] + STREAM, False, True),
     ],
 )
-def test_answers_that_are_not_right(name, body, is_whole, is_found):
-    found = check_answers([make_outcome(name, 200, body, is_whole=is_whole)])
-    assert bool(found) is is_found
+def test_check_answers_finds_wrong_or_truncated_answers(
+    name, body, is_whole, has_violation
+):
+    violations = check_answers([make_outcome(name, 200, body, is_whole=is_whole)])
+    assert bool(violations) is has_violation
 
 
-def test_requests_that_do_not_end():
-    assert not check_ends([make_outcome("again-1", 0, ended_s=3.5)], 3.0)
-    assert check_ends([make_outcome("again-1", 0, ended_s=6.0)], 3.0)
+def test_check_deadlines_finds_late_requests():
+    assert not check_deadlines([make_outcome("again-1", 0, ended_s=3.5)], 3.0)
+    assert check_deadlines([make_outcome("again-1", 0, ended_s=6.0)], 3.0)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak; longer ones: ``make soak SEED=1 SEEDS=50``."""
+"""Short soak runs; for longer ones use ``make soak SEED=1 SEEDS=50``."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 import pytest
 
-from soak.main import TARGETS
+from soak.main import TARGET_COUNT
 from soak.plan import make_plan
-from soak.run import async_play
+from soak.run import async_run_plan
 
 SECONDS = 15.0
 DAEMONS = 3
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_promises_hold_whatever_happens(tmp_path, seed):
-    plan = make_plan(seed, SECONDS, TARGETS)
-    verdict = asyncio.run(async_play(tmp_path, plan, DAEMONS))
-    assert verdict.violations == []
-    assert verdict.statuses["once 200"] and verdict.statuses["stream 200"]
+def test_invariants_hold_under_random_faults(tmp_path, seed):
+    plan = make_plan(seed, SECONDS, TARGET_COUNT)
+    result = asyncio.run(async_run_plan(tmp_path, plan, DAEMONS))
+    assert result.violations == []
+    assert result.statuses["once 200"] and result.statuses["stream 200"]
