--- a/soak/faults.py
+++ b/soak/faults.py
@@ -110,7 +110,7 @@
         }
 
     async def async_inject_all(self, plan: Plan) -> None:
-        """Play all faults, each in a task of its own; return when all are over."""
+        """Inject all faults, each in its own task, and wait for them to end."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         async with asyncio.TaskGroup() as group:
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -84,8 +84,8 @@
         change_s = start_s + BURST_S + CONFIG_CHANGE_DELAY_S
         faults.append(Fault(change_s, FaultKind.CONFIGURE, 0, 0.0, 0.0))
         start_s += BURST_S + RECOVERY_S
-    kept = [fault for fault in faults if fault.at_s < time_s]
-    return Plan(seed, time_s, tuple(kept))
+    started = [fault for fault in faults if fault.at_s < time_s]
+    return Plan(seed, time_s, tuple(started))
 
 
 def _make_burst(rng: random.Random, start_s: float, target_count: int) -> list[Fault]:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -35,7 +35,7 @@
     report_lag_s: float
 
 
-class Account(msgspec.Struct):
+class EngineStats(msgspec.Struct):
     """Statistics by which tests verify memory use and the handling of orders."""
 
     overcommits: list[str] = []
@@ -77,7 +77,7 @@
         self.boot_id = BootId(make_id())
         self.fence = FencingNumber(0)
         self.is_leaving = False
-        self.account = Account()
+        self.account = EngineStats()
         self.held: dict[Artifact, _ResidentArtifact] = {}
         self.running = 0
         self._waiters: list[tuple[int, int, asyncio.Future[None]]] = []
--- a/standins/prepared.py
+++ b/standins/prepared.py
@@ -96,7 +96,7 @@
             server.close()
 
 
-class StandinControl:
+class ControlApi:
     """HTTP API by which a test in another process controls the stand-in."""
 
     def __init__(self, machines: PreparedMachines) -> None:
@@ -181,7 +181,7 @@
     machines = PreparedMachines()
     app = web.Application()
     machines.store.add_routes(app)
-    StandinControl(machines).add_routes(app)
+    ControlApi(machines).add_routes(app)
 
     async def async_start(app: web.Application) -> None:
         for number in range(2):
