--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Fixed seeds, and the tests of KNOWN-RED.txt, which CI passes over and prints."""
+"""Deterministic Hypothesis settings, and handling of the known failures.
+
+Tests listed in KNOWN-RED.txt are marked as expected failures and printed.
+"""
 
 from __future__ import annotations
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces."""
+"""Fakes of the platform interfaces and of the application object."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class FakeTable(TableService):
-    """The stand-in's table without HTTP, with faults by the call."""
+    """The stand-in platform's table without HTTP, with fault injection per call."""
 
     def __init__(self) -> None:
         self.table = Table()
@@ -66,17 +66,17 @@
         return Commit(version, self.era)
 
     def copy(self) -> tuple[dict[str, Row], int]:
-        """Return what the table holds now."""
+        """Return a backup of the table."""
         return dict(self.table.rows), self.table.version
 
     def restore(self, copy: tuple[dict[str, Row], int]) -> None:
-        """Come back from a copy: what was written since is gone."""
+        """Restore the table from a backup, which loses all later writes."""
         rows, version = copy
         self.table.rows, self.table.version = dict(rows), version
         self.era += 1
 
     def deliver_late(self) -> None:
-        """Let writes that were on their way take effect, if they still may."""
+        """Commit the delayed writes whose preconditions still hold."""
         while self.late:
             transaction = self.late.pop()
             if self.table.first_conflict(transaction.checks) is None:
@@ -84,7 +84,7 @@
 
 
 class FakeObjects(ObjectStore):
-    """Bodies in memory; ``on_get`` runs while a body is on its way."""
+    """An object store in memory; ``on_get`` is called during each read."""
 
     def __init__(self) -> None:
         self.bodies: dict[str, bytes] = {}
@@ -109,12 +109,12 @@
 
 
 def make_platform() -> Platform:
-    """Return a platform of fakes."""
+    """Return a platform whose services are fakes."""
     return Platform(FakeTable(), FakeObjects(), FakeVms())
 
 
 def make_core(name: str = "d1", domain: str = "a") -> SimpleNamespace:
-    """Return what parts use of an application, with a clock set by hand."""
+    """Return a stub of the application, with a clock that the test sets."""
     core = SimpleNamespace(
         daemon_id=DaemonId(name),
         boot_id=BootId(f"boot-{name}"),
@@ -131,11 +131,11 @@
 
 
 def make_quotas(core: SimpleNamespace, *, is_lending: bool = True) -> QuotaKeeper:
-    """Return a daemon's shares, with bounds that are easy to reckon with."""
+    """Return a daemon's quota manager, with round bounds."""
     bounds = QuotaBounds(window_s=8.0, excess_share=0.1, slack=0.0)
     return QuotaKeeper(core, bounds, is_lending=is_lending)
 
 
 def make_exchange(request_id: str) -> SimpleNamespace:
-    """Return what parts use of a request that has an id and nothing else."""
+    """Return a stub of an exchange that only has a request id."""
     return SimpleNamespace(meta=SimpleNamespace(id=request_id))
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The list of known failures: its entries, and what is wrong with them.
+"""Parses and validates the list of known failures.
 
 An entry is one line: ``NAME: COMMAND AND SEED; WHAT WAS SEEN (issue N)``. ``NAME`` is a
-pytest node id, or names something else that its command runs.
+pytest node id or a label for something else that the command runs.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class KnownFailure(NamedTuple):
-    """One entry of the list; ``command`` is empty where it has none."""
+    """An entry of the list; ``command`` is empty if the entry has none."""
 
     name: str
     command: str
@@ -22,12 +22,12 @@
 
     @property
     def is_test(self) -> bool:
-        """Whether pytest can collect it."""
+        """Whether the entry names a pytest node."""
         return NODE_SEPARATOR in self.name
 
 
 def parse_known_failures(text: str) -> list[KnownFailure]:
-    """Return the entries of the list, one for each line that is not blank."""
+    """Return the entries of the list, one per non-blank line."""
     return [_parse_entry(line.strip()) for line in text.splitlines() if line.strip()]
 
 
@@ -40,14 +40,14 @@
 def find_errors(
     entries: list[KnownFailure], collected: set[str] | None = None
 ) -> list[str]:
-    """Return what is wrong with the list.
+    """Return the errors in the list.
 
     Parameters
     ----------
     entries : list[KnownFailure]
-        The entries.
+        Parsed entries.
     collected : set[str] or None
-        Node ids of the whole suite; None if only a part of it was collected.
+        Node ids of the whole suite, or None if only part of it was collected.
     """
     errors = [f"no command: {e.line}" for e in entries if not e.command]
     names = [e.name for e in entries]
--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that mirror the package."""
+"""Tests that run the daemons as separate processes."""
--- a/tests/rates.py
+++ b/tests/rates.py
@@ -1,15 +1,15 @@
-"""How many events fall into any window of a length."""
+"""Helpers that check event rates over sliding windows."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
 LIMIT_WINDOW_S = 4.0
-"""The window over which the operators count requests against a limit."""
+"""The window in which operators count requests against a limit."""
 
 
 def most_in_window(times_s: Iterable[float], window_s: float) -> int:
-    """Return the largest number of events in any window."""
+    """Return the largest number of events in any sliding window."""
     ordered = sorted(times_s)
     first = most = 0
     for last, time_s in enumerate(ordered):
@@ -20,5 +20,5 @@
 
 
 def allowed_in_window(limit_per_s: float) -> float:
-    """Return the most requests that an endpoint with a limit may get in a window."""
+    """Return how many requests an endpoint with a limit may receive in a window."""
     return 1.5 * limit_per_s * LIMIT_WINDOW_S + 5
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Time that a VM is suspended counts."""
+"""Clocks and timers include the time during which the VM is suspended."""
 
 from __future__ import annotations
 
@@ -15,27 +15,29 @@
 from chutelink.store.http import HttpCaller
 
 SUSPENDED_S = 30.0
-"""As long as a timer of the test, so that it would not end without it."""
+"""Equal to the timeout in the test, which expires only if suspension counts."""
 
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Return a call after which the VM has been suspended for a while.
+    """Return a function that simulates a suspension of the VM.
 
-    ``time.monotonic`` does not count it, as on a real VM.
+    As on a real VM, ``time.monotonic`` does not include the suspension.
     """
     offset_s = [0.0]
     read = time.clock_gettime
 
-    def gettime(which):
-        return read(which) + (offset_s[0] if which == time.CLOCK_BOOTTIME else 0.0)
+    def clock_gettime(clock_id):
+        return read(clock_id) + (
+            offset_s[0] if clock_id == time.CLOCK_BOOTTIME else 0.0
+        )
 
-    monkeypatch.setattr(clock.time, "clock_gettime", gettime)
+    monkeypatch.setattr(clock.time, "clock_gettime", clock_gettime)
 
-    def do() -> None:
+    def suspend_vm() -> None:
         offset_s[0] += SUSPENDED_S
 
-    return do
+    return suspend_vm
 
 
 class Daemon(Application):
@@ -52,7 +54,7 @@
         return True
 
 
-def test_daemons_count_the_time_of_a_suspension(suspend):
+def test_application_clock_includes_suspension(suspend):
     async def async_test():
         section = DaemonSection("d", "v", "z", "127.0.0.1", 7000, "key")
         daemon = Daemon("test", section)
@@ -63,7 +65,7 @@
     asyncio.run(async_test())
 
 
-def test_timers_that_were_due_in_a_suspension_end_at_once(suspend):
+def test_timers_due_during_suspension_fire_immediately(suspend):
     async def async_test():
         loop = asyncio.get_running_loop()
         loop.call_later(0.01, suspend)
@@ -78,7 +80,7 @@
         runner.run(async_test())
 
 
-def test_the_stores_breaker_counts_it_too(suspend):
+def test_store_circuit_breaker_clock_includes_suspension(suspend):
     async def async_test():
         async with aiohttp.ClientSession() as session:
             settings = PlatformSection(url="http://127.0.0.1:1", key="none")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Versions come in force once, whole, and never go down."""
+"""Configuration versions are applied once, completely and in ascending order."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return platform, keeper
 
 
-def test_body_from_a_peer_while_the_same_one_is_fetched():
+def test_body_arriving_from_peer_during_fetch():
     platform, keeper = make_keeper()
     commit(platform, 1)
     body = ConfigBody(ConfigVersion(1), hash_fleet(TEXT), TEXT)
@@ -54,18 +54,18 @@
     assert keeper.is_confirmed
 
 
-def test_the_first_poll_after_a_commit_brings_it_in_force_within_the_bound():
+def test_first_poll_after_commit_applies_it_within_bound():
     platform, keeper = make_keeper()
     commit(platform, 1)
     asyncio.run(keeper._async_poll())
     assert keeper.version == 1
-    # The longest pause before that poll, and the time limits of its two calls.
+    # The longest wait for the next poll, and the time limit of its two calls.
     defaults = PlatformSection(url="http://x", key="k")
-    most_s = defaults.poll_interval_s + defaults.timeout_s
-    assert most_s < CHANGE_BOUND_S
+    max_delay_s = defaults.poll_interval_s + defaults.timeout_s
+    assert max_delay_s < CHANGE_BOUND_S
 
 
-def test_a_stale_head_does_not_take_the_version_down():
+def test_stale_head_does_not_lower_version():
     platform, keeper = make_keeper()
     commit(platform, 2)
     asyncio.run(keeper._async_poll())
@@ -74,14 +74,14 @@
     assert keeper.version == 2
 
 
-def test_a_body_that_is_not_what_was_committed_is_refused():
+def test_body_that_differs_from_commit_is_rejected():
     platform, keeper = make_keeper()
     commit(platform, 1)
     keeper._on_peer_body(ConfigBody(ConfigVersion(3), hash_fleet(TEXT), "[fleet]\n"))
     assert keeper.version == 0
 
 
-def test_a_missing_body_is_fetched_again():
+def test_missing_body_is_fetched_again():
     platform, keeper = make_keeper()
     commit(platform, 1)
     bodies = dict(platform.objects.bodies)
@@ -93,7 +93,7 @@
     assert keeper.version == 1
 
 
-def test_a_version_from_a_peer_is_unconfirmed_until_the_table_is_back():
+def test_version_from_peer_is_unconfirmed_during_table_outage():
     platform, keeper = make_keeper()
     commit(platform, 1)
     platform.table.is_out = True
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections of callers that are kept open while a daemon stops."""
+"""Keep-alive connections while a daemon shuts down."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 SOON_S = 2.0
 
 
-class Served:
-    """A server whose answers wait for the test, and one connection to it."""
+class ServerHarness:
+    """A server whose responses wait for the test, with one client connection."""
 
     def __init__(self) -> None:
         self.is_reading = False
@@ -35,80 +35,82 @@
 
 
 @asynccontextmanager
-async def async_served():
-    served = Served()
+async def async_server_harness():
+    harness = ServerHarness()
     listener = await asyncio.get_running_loop().create_server(
-        served.server, "127.0.0.1", 0
+        harness.server, "127.0.0.1", 0
     )
     port = listener.sockets[0].getsockname()[1]
-    served.reader, served.writer = await asyncio.open_connection("127.0.0.1", port)
-    while not served.server.connections:
+    harness.reader, harness.writer = await asyncio.open_connection("127.0.0.1", port)
+    while not harness.server.connections:
         await asyncio.sleep(0.001)
     try:
-        yield served
+        yield harness
     finally:
-        served.writer.close()
+        harness.writer.close()
         listener.close()
 
 
-def test_an_idle_connection_is_closed_so_that_no_request_is_lost_on_it():
+def test_idle_connection_is_closed():
+    """A request sent on it later would be lost when the process exits."""
+
     async def async_test():
-        async with async_served() as served:
-            served.close_idle()
+        async with async_server_harness() as harness:
+            harness.close_idle()
             async with asyncio.timeout(SOON_S):
-                assert await served.reader.read() == b""
+                assert await harness.reader.read() == b""
 
     asyncio.run(async_test())
 
 
-def test_a_request_that_is_being_read_is_answered():
+def test_request_being_read_is_answered():
     async def async_test():
-        async with async_served() as served:
-            served.writer.write(HEAD + b"bo")
-            while not served.is_reading:
+        async with async_server_harness() as harness:
+            harness.writer.write(HEAD + b"bo")
+            while not harness.is_reading:
                 await asyncio.sleep(0.001)
-            served.close_idle()
-            served.writer.write(b"dy")
-            served.may_answer.set()
+            harness.close_idle()
+            harness.writer.write(b"dy")
+            harness.may_answer.set()
             async with asyncio.timeout(SOON_S):
-                answer = await served.reader.read()
+                answer = await harness.reader.read()
             assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"done body")
 
     asyncio.run(async_test())
 
 
-def test_a_request_that_runs_is_answered_and_its_connection_closed_after_it():
+def test_running_request_is_answered_before_its_connection_closes():
     async def async_test():
-        async with async_served() as served:
-            served.writer.write(HEAD + b"body")
-            while not served.is_reading:
+        async with async_server_harness() as harness:
+            harness.writer.write(HEAD + b"body")
+            while not harness.is_reading:
                 await asyncio.sleep(0.001)
-            served.close_idle()
+            harness.close_idle()
             await asyncio.sleep(0.01)
-            served.close_idle()
-            served.may_answer.set()
+            harness.close_idle()
+            harness.may_answer.set()
             async with asyncio.timeout(SOON_S):
-                answer = await served.reader.read()
+                answer = await harness.reader.read()
             assert answer.endswith(b"done body")
 
     asyncio.run(async_test())
 
 
-@pytest.mark.parametrize("loop_turns", range(4))
-def test_a_request_that_was_read_but_not_yet_handled_is_answered(loop_turns):
-    """A daemon that stops closed connections between a request and its handler."""
+@pytest.mark.parametrize("loop_iterations", range(4))
+def test_request_read_but_not_yet_handled_is_answered(loop_iterations):
+    """A stopping daemon used to close a connection before the handler had started."""
 
     async def async_test():
-        async with async_served() as served:
-            served.may_answer.set()
+        async with async_server_harness() as harness:
+            harness.may_answer.set()
             await asyncio.sleep(0.01)
-            [connection] = served.server.connections
+            [connection] = harness.server.connections
             connection.data_received(HEAD + b"body")
-            for _ in range(loop_turns):
+            for _ in range(loop_iterations):
                 await asyncio.sleep(0)
-            served.close_idle()
+            harness.close_idle()
             async with asyncio.timeout(SOON_S):
-                answer = await served.reader.read()
+                answer = await harness.reader.read()
             assert answer.endswith(b"done body")
 
     asyncio.run(async_test())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The application object's own life cycle."""
+"""Life cycle of the application object."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SlowStart(Application):
-    """Takes some time to start, and is told to stop meanwhile."""
+    """An application that receives SIGTERM during a slow startup."""
 
     def __init__(self) -> None:
         daemon = DaemonSection("d", "v", "a", address="127.0.0.1", port=0, peer_key="k")
@@ -22,7 +22,7 @@
 
     async def async_setup_parts(self) -> None:
         os.kill(os.getpid(), signal.SIGTERM)
-        self.told_s = self.clock()
+        self.signalled_s = self.clock()
         await asyncio.sleep(START_S)
 
     def add_routes(self, app) -> None:
@@ -35,13 +35,13 @@
         return True
 
 
-def test_the_grace_counts_from_the_signal_and_not_from_the_end_of_the_start():
-    """A daemon told to stop while it started was killed with requests under way."""
+def test_grace_period_starts_at_signal_during_startup():
+    """A daemon signalled during startup used to be killed with requests in flight."""
 
     async def async_test():
         app = SlowStart()
         assert await _async_run(lambda: app, lambda app: None) == 0
-        assert app.drained_s - app.told_s >= START_S
-        assert app.drain_requested_s - app.told_s < START_S / 2
+        assert app.drained_s - app.signalled_s >= START_S
+        assert app.drain_requested_s - app.signalled_s < START_S / 2
 
     asyncio.run(async_test())
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines never wait for their reader, and say how many were left out."""
+"""Logging never blocks on the reader, and reports how many lines were dropped."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from chutelink.log import MAX_BUFFERED_BYTES, EventLog, NonBlockingHandler
 
 
-def test_a_pipe_that_nobody_reads_holds_nothing_up():
+def test_unread_pipe_does_not_block_logging():
     reader, writer = os.pipe()
     handler = NonBlockingHandler(writer, logbook.DEBUG, "{record.message}")
     log = EventLog("test")
@@ -36,7 +36,7 @@
     os.close(writer)
 
 
-def test_a_reader_that_is_gone_ends_nothing():
+def test_closed_reader_does_not_raise():
     reader, writer = os.pipe()
     handler = NonBlockingHandler(writer, logbook.DEBUG, "{record.message}")
     os.close(reader)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings as platforms write them."""
+"""Settings files as rendered by the platforms."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .processes.entry_deployment import ROOT, render
 
 
-def settings_text(**bounds: str) -> str:
-    """Return the deployed template, filled in."""
+def render_entry_settings(**bounds: str) -> str:
+    """Return the deployed template, rendered with example values."""
     fields = dict.fromkeys(
         (
             *("contact_ms", "config_apply_ms", "drain_ms", "lease_ms"),
@@ -37,10 +37,10 @@
         {"quota_window_s": "8", "quota_excess": "0.1", "quota_slack": "26829.3"},
     ],
 )
-def test_bounds_may_be_fractions(bounds):
-    """A daemon whose bound on retries was 39.5 did not start."""
+def test_bounds_accept_fractions(bounds):
+    """A daemon with a retry bound of 39.5 used to fail at startup."""
     settings, problems = decode_settings(
-        settings_text(**bounds), "entry.ini", EntrySettings
+        render_entry_settings(**bounds), "entry.ini", EntrySettings
     )
     assert problems == []
     assert settings.entry.retry_slack == float(bounds.get("retry_slack", "8"))
@@ -50,6 +50,9 @@
 @pytest.mark.parametrize(
     "bounds", [{"retry_slack": "-1"}, {"drain_ms": "0"}, {"lease_ms": "soon"}]
 )
-def test_bounds_that_are_none_are_refused_with_their_place(bounds):
-    _, problems = decode_settings(settings_text(**bounds), "entry.ini", EntrySettings)
+def test_invalid_bounds_are_rejected(bounds):
+    """Each invalid bound is reported as one problem."""
+    _, problems = decode_settings(
+        render_entry_settings(**bounds), "entry.ini", EntrySettings
+    )
     assert len(problems) == 1
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer: hours pass in moments."""
+"""An event loop with virtual time, whose clock jumps to the next timer."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 from typing import Any
 
 STEP_S = 1e-6
-"""What each turn of the loop takes, so that waits too short to count end too."""
+"""Minimum time per loop iteration.
 
+Without it, a wait below the clock's resolution would never end.
+"""
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Lets time pass instead of waiting; nothing outside the loop ever happens."""
+
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Advances the clock instead of waiting; there is no I/O."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,24 +23,24 @@
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("nothing left to wait for")
+            raise RuntimeError("deadlock: no timer is scheduled")
         self.now_s += max(STEP_S, timeout)
         return []
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Runs without network and without waiting; the same each time."""
+    """A deterministic event loop without I/O and without real waiting."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
 
 def run_virtually(main: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
