--- a/tests/processes/chaos.py
+++ b/tests/processes/chaos.py
@@ -181,7 +181,7 @@
         )
         name = self._rng.choice(sorted(self._deployment.engines))
         self.faults["engine " + next(iter(fault))] += 1
-        await self._deployment.async_fault(
+        await self._deployment.async_set_faults(
             self._deployment.engines[name]["url"], **fault
         )
 
@@ -198,7 +198,7 @@
             ]
         )
         self.faults["platform " + next(iter(fault))] += 1
-        await self._deployment.async_fault(self._deployment.platform_url, **fault)
+        await self._deployment.async_set_faults(self._deployment.platform_url, **fault)
 
     async def _async_process_fault(self) -> None:
         names = ["gateway-1", "gateway-2", "gateway-3", "director-1", "director-2"]
@@ -238,7 +238,7 @@
         )
         self.faults["service " + next(iter(fault))] += 1
         url = self._deployment.services["service-1"]
-        await self._deployment.async_fault(url, **fault)
+        await self._deployment.async_set_faults(url, **fault)
 
     async def _async_change(self) -> None:
         if self._rng.random() < 0.5:
@@ -251,7 +251,7 @@
 
     async def _async_heal(self) -> None:
         deployment = self._deployment
-        await deployment.async_fault(
+        await deployment.async_set_faults(
             deployment.platform_url,
             table_out=False,
             objects_out=False,
@@ -261,7 +261,7 @@
             late_writes=0,
         )
         for values in deployment.engines.values():
-            await deployment.async_fault(values["url"], **FAULTS_OFF)
+            await deployment.async_set_faults(values["url"], **FAULTS_OFF)
         await deployment.async_set_vms()
 
     async def _async_judge(self) -> None:
@@ -269,7 +269,7 @@
         for name, account in (await deployment.async_accounts()).items():
             if account["overcommits"]:
                 self.violations.append(f"{name}: {account['overcommits']}")
-        reached = set(await deployment.async_reached_ids())
+        reached = set(await deployment.async_received_ids())
         if reached & self._not_run:
             self.violations.append(f"run though not-run: {reached & self._not_run}")
         url = deployment.services["service-1"]
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback for one test, with faults switched on from outside."""
+"""Runs a deployment as real processes on loopback, with fault injection."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 DIRECTOR_PORT = 7200
 WAIT_S = 40.0
 FAILURES = (aiohttp.ClientError, TimeoutError, ConnectionError)
-_NETS = itertools.count()
+_SUBNETS = itertools.count()
 
 
 class Process:
-    """One child process; ended by its id only."""
+    """A child process, signalled only by its process id."""
 
     def __init__(self, name: str, command: list[str], log: Path) -> None:
         self.name = name
@@ -57,7 +57,7 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether it has said that it takes signals and requests."""
+        """Whether the process has logged that it accepts signals and requests."""
         return b"event=started" in self.log.read_bytes()[self._log_from :]
 
     @property
@@ -76,12 +76,12 @@
 
 
 class Deployment:
-    """A platform, endpoints and daemons on a net of their own."""
+    """A platform, endpoints and daemons on their own loopback network."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
-        number = next(_NETS)
-        self.net = f"127.{30 + os.getpid() % 200}.{number % 250}"
+        number = next(_SUBNETS)
+        self.subnet = f"127.{30 + os.getpid() % 200}.{number % 250}"
         self.processes: dict[str, Process] = {}
         self.session: aiohttp.ClientSession | None = None
         self.engines: dict[str, dict] = {}
@@ -90,13 +90,13 @@
 
     @property
     def platform_url(self) -> str:
-        return f"http://{self.net}.1:{PLATFORM_PORT}"
+        return f"http://{self.subnet}.1:{PLATFORM_PORT}"
 
     def gateway_url(self, number: int) -> str:
-        return f"http://{self.net}.{10 + number}:{GATEWAY_PORT}"
+        return f"http://{self.subnet}.{10 + number}:{GATEWAY_PORT}"
 
     def director_url(self, number: int) -> str:
-        return f"http://{self.net}.{10 + number}:{DIRECTOR_PORT}"
+        return f"http://{self.subnet}.{10 + number}:{DIRECTOR_PORT}"
 
     def start(self, name: str, *command: str) -> Process:
         log = self.directory / f"{name}.log"
@@ -108,7 +108,7 @@
         return self.start(
             "platform",
             "chutelink-standin-platform",
-            *("--address", f"{self.net}.1", "--port", str(PLATFORM_PORT)),
+            *("--address", f"{self.subnet}.1", "--port", str(PLATFORM_PORT)),
             *("--load-s", "0.1", "--loads-per-s", "50", "--vm-lag-s", "0.5"),
             *options,
         )
@@ -124,7 +124,7 @@
         options: tuple[str, ...] = (),
     ) -> Process:
         name = f"engine-{number}"
-        address = f"{self.net}.{20 + number}"
+        address = f"{self.subnet}.{20 + number}"
         self.engines[name] = {
             "url": f"http://{address}:{ENDPOINT_PORT}",
             "failure_domain": domain,
@@ -146,7 +146,7 @@
 
     def start_service(self, number: int) -> Process:
         name = f"service-{number}"
-        address = f"{self.net}.{40 + number}"
+        address = f"{self.subnet}.{40 + number}"
         self.services[name] = f"http://{address}:{ENDPOINT_PORT}"
         return self.start(
             name,
@@ -160,7 +160,7 @@
 id = {name}
 vm = vm-entry-{number}
 failure_domain = {domain}
-address = {self.net}.{10 + number}
+address = {self.subnet}.{10 + number}
 port = {port}
 peer_port = {port + 1}
 peer_key = peer-key
@@ -173,7 +173,7 @@
 poll_interval_s = 0.5
 
 [peers]
-seeds = {self.net}.11:{GATEWAY_PORT + 1}, {self.net}.12:{GATEWAY_PORT + 1}
+seeds = {self.subnet}.11:{GATEWAY_PORT + 1}, {self.subnet}.12:{GATEWAY_PORT + 1}
 
 [endpoints]
 order_key = order-key
@@ -194,8 +194,8 @@
         name = f"director-{number}"
         path = self.directory / f"{name}.ini"
         text = self._daemon_settings(name, number, domain, DIRECTOR_PORT)
-        pace = "loads_per_s = 50\nloads_at_once = 100\nlease_s = 2.0\n"
-        path.write_text(f"{text}\n[director]\n{pace}{extra}")
+        load_limits = "loads_per_s = 50\nloads_at_once = 100\nlease_s = 2.0\n"
+        path.write_text(f"{text}\n[director]\n{load_limits}{extra}")
         return self.start(name, "chutelink-director", "--settings", str(path))
 
     def fleet_text(
@@ -258,7 +258,7 @@
         path.write_text(text)
         return await self.async_cli("apply", str(path), "--base", str(base), *arguments)
 
-    async def async_fault(self, url: str, **faults: object) -> None:
+    async def async_set_faults(self, url: str, **faults: object) -> None:
         async with self.session.post(f"{url}/standin/faults", json=faults) as response:
             assert response.status == 200
 
@@ -361,12 +361,12 @@
             if self.processes[name].is_running
         }
 
-    async def async_assert_memory_kept(self) -> None:
+    async def async_assert_no_overcommit(self) -> None:
         for name, account in (await self.async_accounts()).items():
             assert account["overcommits"] == [], (name, account)
 
-    async def async_reached_ids(self) -> list[str]:
-        """Return the ids of all requests that reached any engine."""
+    async def async_received_ids(self) -> list[str]:
+        """Return the ids of all requests that reached an engine."""
         found: list[str] = []
         for values in self.engines.values():
             found += await self.async_get(f"{values['url']}/standin/requests")
@@ -380,7 +380,7 @@
 
 @asynccontextmanager
 async def async_deploy(directory: Path) -> AsyncIterator[Deployment]:
-    """Yield a deployment and end its processes, each by its id."""
+    """Yield a deployment, and kill its processes on exit."""
     deployment = Deployment(directory)
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -399,7 +399,7 @@
     director_extra: str = "",
     gateway_extra: str = "valid_s = 1.0\n",
 ) -> None:
-    """Start the platform's stand-in and the daemons, and wait until they answer."""
+    """Start the stand-in platform and the daemons, and wait until they respond."""
     deployment.start_platform()
     await deployment.async_until_up(f"{deployment.platform_url}/standin/counts")
     for number in range(1, gateways + 1):
--- a/tests/processes/entry_deployment.py
+++ b/tests/processes/entry_deployment.py
@@ -1,4 +1,4 @@
-"""Entry daemons as real processes on loopback, behind the platform's stand-in."""
+"""Runs entry daemons as real processes on loopback, with a stand-in platform."""
 
 from __future__ import annotations
 
@@ -24,52 +24,54 @@
 STORE_PORT = 7000
 FIRST_PORT = 7100
 SERVICES = {"llm": "llm", "plain": "plain"}
-_NETS = itertools.count()
+_SUBNETS = itertools.count()
 
 
 def render(template: str, fields: dict[str, str]) -> str:
-    """Fill a settings template in as the platform does.
+    """Render a settings template as the platform does.
 
-    A section with ``#`` stands where its field has a value, one with ``^`` where not.
+    A ``#`` section is kept if its field has a value, a ``^`` section if it has none.
     """
 
-    def choose(match: re.Match) -> str:
+    def render_section(match: re.Match) -> str:
         value = fields.get(match[2])
         is_shown = bool(value) is (match[1] == "#")
         return match[3].replace("{{.}}", value or "") if is_shown else ""
 
     sections = r"\{\{([#^])([\w.]+)\}\}(.*?)\{\{/\2\}\}"
-    template = re.sub(sections, choose, template, flags=re.DOTALL)
+    template = re.sub(sections, render_section, template, flags=re.DOTALL)
     return re.sub(r"\{\{([\w.]+)\}\}", lambda match: fields[match[1]], template)
 
 
 class EntryDeployment:
-    """A store with endpoints and some daemons, each at an address of its own."""
+    """A store with endpoints, and entry daemons, each at its own loopback address."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
-        # Test runs at the same time have other process ids, and so other networks.
-        second, third = 230 + os.getpid() % 25, os.getpid() // 25 + next(_NETS)
-        self.net = f"127.{second}.{third % 250}"
+        # Concurrent test runs have different process ids, and so different networks.
+        second, third = 230 + os.getpid() % 25, os.getpid() // 25 + next(_SUBNETS)
+        self.subnet = f"127.{second}.{third % 250}"
         self.processes: dict[str, Process] = {}
         self.session: aiohttp.ClientSession | None = None
         self.store_proxy: SilencingProxy | None = None
 
     @property
     def store_url(self) -> str:
-        return f"http://{self.net}.1:{STORE_PORT}"
+        return f"http://{self.subnet}.1:{STORE_PORT}"
 
     def address(self, number: int) -> str:
-        return f"{self.net}.{10 + number}"
+        return f"{self.subnet}.{10 + number}"
 
     @property
     def store_host(self) -> str:
-        """Where daemons find the store: itself, or a proxy before it."""
-        return f"{self.net}.1" if self.store_proxy is None else f"{self.net}.2"
+        """Host at which daemons reach the store, directly or through the proxy."""
+        return f"{self.subnet}.1" if self.store_proxy is None else f"{self.subnet}.2"
 
     async def async_start_proxy(self, make_proxy: type[SilencingProxy]) -> None:
-        """Put a proxy between the daemons and the store."""
-        self.store_proxy = make_proxy(f"{self.net}.2", STORE_PORT, f"{self.net}.1")
+        """Start a proxy between the daemons and the store."""
+        self.store_proxy = make_proxy(
+            f"{self.subnet}.2", STORE_PORT, f"{self.subnet}.1"
+        )
         await self.store_proxy.async_start()
 
     def start(self, name: str, command: list[str]) -> Process:
@@ -79,8 +81,8 @@
 
     def start_store(self) -> None:
         program = str(BIN / "chutelink-standin-machines")
-        place = ["--address", f"{self.net}.1", "--port", str(STORE_PORT)]
-        self.start("store", [program, *place])
+        options = ["--address", f"{self.subnet}.1", "--port", str(STORE_PORT)]
+        self.start("store", [program, *options])
 
     def start_daemon(self, number: int) -> Process:
         ip = self.address(number)
@@ -139,15 +141,15 @@
             while not await check():
                 await asyncio.sleep(0.05)
 
-    async def async_until_complete(self, daemons: list[int]) -> None:
-        """Wait until each daemon names all of them."""
+    async def async_until_all_listed(self, daemons: list[int]) -> None:
+        """Wait until each of these daemons returns the addresses of all of them."""
 
         async def async_check() -> bool:
             try:
-                lists = [await self.async_addresses(n) for n in daemons]
+                address_lists = [await self.async_addresses(n) for n in daemons]
             except FAILURES:
                 return False
-            return all(len(names) == len(daemons) for names in lists)
+            return all(len(a) == len(daemons) for a in address_lists)
 
         await self.async_until(async_check)
 
@@ -218,7 +220,7 @@
             await deployment.async_start_proxy(make_proxy)
         for number in range(daemons):
             deployment.start_daemon(number)
-        await deployment.async_until_complete(list(range(daemons)))
+        await deployment.async_until_all_listed(list(range(daemons)))
         yield deployment
     finally:
         await deployment.async_close()
--- a/tests/processes/scenarios.py
+++ b/tests/processes/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios around one deployment, and what they ask of it."""
+"""Shared setup and helpers for tests that run a deployment."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ONE_MODEL = {"m": {"memory_mb": 40}}
 
 
-async def async_with_service(directory, async_scenario, **options):
+async def async_run_with_service(directory, async_scenario, **options):
     async with async_deploy(directory) as deployment:
         deployment.start_engine(1)
         deployment.start_engine(2, "b")
@@ -23,7 +23,7 @@
             await deployment.async_until_served("m", gateway=number)
             await async_until_service(deployment, number)
         await async_scenario(deployment)
-        await deployment.async_assert_memory_kept()
+        await deployment.async_assert_no_overcommit()
 
 
 async def async_until_service(deployment, gateway):
@@ -43,15 +43,15 @@
 
 
 async def async_until_replicas(deployment, model, count):
-    async def async_has():
+    async def async_has_replicas():
         _, status = await deployment.async_cli("status")
         return status["replicas"].get(model, 0) >= count
 
-    await deployment.async_until(async_has)
+    await deployment.async_until(async_has_replicas)
 
 
 async def async_stream(deployment, model, prompt, max_tokens, gateway=1):
-    """Return the text and whether the stream had its end mark."""
+    """Return the status, the text, and whether the stream had its end mark."""
     body = {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
--- a/tests/processes/silence.py
+++ b/tests/processes/silence.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose open connections fall silent for good, without a reset."""
+"""A loopback proxy that can blackhole its open connections without a reset."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 
 
 class SilencingProxy:
-    """Passes bytes on; what is open when it is silenced passes none any more.
+    """Forwards bytes, and can blackhole the connections that are open.
+
+    A blackholed connection stays open but forwards nothing any more.
 
     Parameters
     ----------
     host : str
-        Where it listens.
+        Address that the proxy listens on.
     port : int
-        The port that it listens on, and that of the target.
+        Port of both the proxy and the target.
     target : str
-        Where it connects.
+        Address of the target.
     """
 
     def __init__(self, host: str, port: int, target: str) -> None:
@@ -31,19 +33,19 @@
         self.connections = 0
 
     async def async_start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._async_serve, self._host, self._port
         )
 
     def silence(self) -> int:
-        """Silence what is open; return how many connections that are."""
+        """Blackhole the open connections, and return how many there were."""
         self._generation += 1
-        silenced, self.connections = self.connections, 0
-        return silenced
+        blackholed, self.connections = self.connections, 0
+        return blackholed
 
     async def async_close(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
@@ -60,16 +62,18 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         generation = self._generation
-        there, back = await asyncio.open_connection(self._target, self._port)
+        target_reader, target_writer = await asyncio.open_connection(
+            self._target, self._port
+        )
         self.connections += 1
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._async_pass(reader, back, generation))
-                group.create_task(self._async_pass(there, writer, generation))
+                group.create_task(self._async_pass(reader, target_writer, generation))
+                group.create_task(self._async_pass(target_reader, writer, generation))
         finally:
             if generation == self._generation:
                 self.connections -= 1
-            back.close()
+            target_writer.close()
             writer.close()
 
     async def _async_pass(
@@ -78,14 +82,14 @@
         writer: asyncio.StreamWriter,
         generation: int,
     ) -> None:
-        """Pass bytes on in one direction, until its side ends or is silenced."""
+        """Forward bytes in one direction until its source ends or is blackholed."""
         while True:
             try:
                 data = await reader.read(CHUNK_BYTES)
             except ConnectionError:
                 data = b""
             if generation != self._generation:
-                # Neither bytes nor an end get through any more.
+                # Forward neither data nor the end of the stream any more.
                 await asyncio.Event().wait()
             if not data:
                 writer.close()
@@ -93,7 +97,7 @@
             try:
                 await self._async_forward(data, writer)
             except ConnectionError:
-                # The other side of a connection that was reset.
+                # The other side has reset its connection.
                 return
 
     async def _async_forward(self, data: bytes, writer: asyncio.StreamWriter) -> None:
--- a/tests/processes/test_answers.py
+++ b/tests/processes/test_answers.py
@@ -9,9 +9,9 @@
 from .deployment import FAILURES, async_deploy, async_start_all
 from .scenarios import (
     async_executions,
+    async_run_with_service,
     async_stream,
     async_until_replicas,
-    async_with_service,
 )
 
 
@@ -20,7 +20,7 @@
         url = deployment.services["service-1"]
         for fault in ({"cut_answers": 1}, {"cut_before_run": 1}, {"wrong_ids": 1}):
             before = len(await async_executions(deployment))
-            await deployment.async_fault(url, **fault)
+            await deployment.async_set_faults(url, **fault)
             status, headers, _ = await deployment.async_call_service(
                 "POST", "permits", body="x"
             )
@@ -32,7 +32,7 @@
         )
         assert (status, headers["Chutelink-Outcome"]) == (503, "not-run")
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 def test_answers_are_whole_and_the_callers_own(tmp_path):
@@ -50,7 +50,7 @@
                 if stop.is_set():
                     return
                 for values in deployment.engines.values():
-                    await deployment.async_fault(values["url"], **faults[turn % 4])
+                    await deployment.async_set_faults(values["url"], **faults[turn % 4])
                 await asyncio.sleep(0.1)
 
         counts = {"whole": 0, "refused": 0, "no end": 0}
@@ -85,7 +85,7 @@
         await injector
         assert counts["whole"] > 300, counts
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 def test_a_cut_stream_goes_on_elsewhere(tmp_path):
@@ -100,10 +100,10 @@
             await async_until_replicas(deployment, "m", 2)
             for number in range(4):
                 for values in deployment.engines.values():
-                    await deployment.async_fault(values["url"], cut_answers=0)
+                    await deployment.async_set_faults(values["url"], cut_answers=0)
                 name = f"engine-{1 + number % 2}"
                 url = deployment.engines[name]["url"]
-                await deployment.async_fault(url, cut_answers=1)
+                await deployment.async_set_faults(url, cut_answers=1)
                 for turn in range(4):
                     prompt = f"{number} {turn}"
                     found = await async_stream(deployment, "m", prompt, 8)
@@ -135,11 +135,11 @@
             await asyncio.sleep(1.2)
             victim.wake()
             await running
-        reached = set(await deployment.async_reached_ids())
+        reached = set(await deployment.async_received_ids())
         assert not reached & set(refused)
 
     asyncio.run(
-        async_with_service(
+        async_run_with_service(
             tmp_path,
             async_scenario,
             gateway_extra="valid_s = 1.0\nidle_timeout_s = 1.0\nmax_queue = 20\n",
--- a/tests/processes/test_deadly_requests.py
+++ b/tests/processes/test_deadly_requests.py
@@ -53,7 +53,7 @@
                 deployment.processes[f"vm-{number}"].kill()
             for number in range(2):
                 deployment.start_daemon(number)
-            await deployment.async_until_complete([0, 1])
+            await deployment.async_until_all_listed([0, 1])
             for attempt in range(6, 12):
                 await async_send(deployment, attempt % 2, f"bad-{attempt}")
             assert await async_ends(deployment) == before
@@ -69,7 +69,7 @@
             await deployment.async_store_faults(out_tables=["chutelink-quarantine"])
             deployment.processes["vm-0"].kill()
             deployment.start_daemon(0)
-            await deployment.async_until_complete([0])
+            await deployment.async_until_all_listed([0])
             async with deployment.request(0, "/again/x", "good") as answer:
                 assert answer.status == 200
 
--- a/tests/processes/test_departures.py
+++ b/tests/processes/test_departures.py
@@ -10,7 +10,7 @@
 from standins.text import expected_text
 
 from .deployment import FAILURES, KEY
-from .scenarios import async_until_replicas, async_with_service
+from .scenarios import async_run_with_service, async_until_replicas
 
 
 def test_a_leaving_endpoint_gets_no_new_work(tmp_path):
@@ -65,7 +65,7 @@
         assert before > 0
         assert failures == []
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 class AddressBook:
@@ -150,4 +150,4 @@
         assert failures == []
         assert len(done) > 100
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
--- a/tests/processes/test_entry.py
+++ b/tests/processes/test_entry.py
@@ -102,7 +102,7 @@
         )
         answer = await task
         deployment.processes["vm-0"].terminate()
-        await deployment.async_until_complete([1, 2])
+        await deployment.async_until_all_listed([1, 2])
         body = await answer.read()
         assert body.count(b"id: ") == 200
         assert await deployment.processes["vm-0"].async_wait() == 0
@@ -155,7 +155,7 @@
             deployment.processes[f"vm-{number}"].kill()
         for number in range(3):
             deployment.start_daemon(number)
-        await deployment.async_until_complete([0, 1, 2])
+        await deployment.async_until_all_listed([0, 1, 2])
         for model in ("m0", "m1", "m2", "m3"):
             await async_until_served(deployment, 1, model)
 
--- a/tests/processes/test_keyed_work.py
+++ b/tests/processes/test_keyed_work.py
@@ -6,13 +6,13 @@
 import contextlib
 
 from .deployment import FAILURES
-from .scenarios import async_executions, async_with_service
+from .scenarios import async_executions, async_run_with_service
 
 
 def test_one_key_at_two_gateways_at_once_runs_once(tmp_path):
     async def async_scenario(deployment):
         url = deployment.services["service-1"]
-        await deployment.async_fault(url, delay_s=0.3)
+        await deployment.async_set_faults(url, delay_s=0.3)
         for number in range(6):
             key = f"k{number}"
             answers = await asyncio.gather(
@@ -31,13 +31,13 @@
             assert len({answer["number"] for _, _, answer in answers}) == 1
             assert len(await async_executions(deployment, key)) == 1
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 def test_a_key_whose_gateway_dies_is_never_run_again(tmp_path):
     async def async_scenario(deployment):
         url = deployment.services["service-1"]
-        await deployment.async_fault(url, delay_s=2.0)
+        await deployment.async_set_faults(url, delay_s=2.0)
 
         async def async_post(gateway):
             return await deployment.async_call_service(
@@ -58,7 +58,7 @@
         assert headers["Chutelink-Outcome"] == "unknown"
         assert len(await async_executions(deployment, "k")) == 1
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 async def async_has_executions(deployment, key):
@@ -68,7 +68,7 @@
 def test_keyed_work_is_not_run_while_the_table_is_out_and_unkeyed_goes_on(tmp_path):
     async def async_scenario(deployment):
         platform = deployment.platform_url
-        await deployment.async_fault(platform, table_out=True, objects_out=True)
+        await deployment.async_set_faults(platform, table_out=True, objects_out=True)
         status, headers, _ = await deployment.async_call_service(
             "POST", "permits", idempotency_key="k", body="x"
         )
@@ -79,7 +79,7 @@
         status, _, _ = await deployment.async_complete("m")
         assert status == 200
         assert await async_executions(deployment, "k") == []
-        await deployment.async_fault(platform, table_out=False, objects_out=False)
+        await deployment.async_set_faults(platform, table_out=False, objects_out=False)
 
         async def async_is_done():
             status, _, _ = await deployment.async_call_service(
@@ -90,7 +90,7 @@
         await deployment.async_until(async_is_done)
         assert len(await async_executions(deployment, "k")) == 1
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 def test_claims_with_lost_and_late_replies_run_at_most_once(tmp_path):
@@ -98,7 +98,7 @@
         platform = deployment.platform_url
         for number in range(6):
             fault = {"lose_replies": 1} if number % 2 else {"late_writes": 1}
-            await deployment.async_fault(
+            await deployment.async_set_faults(
                 platform, late_write_s=0.2, write_prefix="claims/", **fault
             )
             key = f"k{number}"
@@ -116,4 +116,4 @@
             assert runs <= 1
             assert (outcomes[-1] != "done") or runs == 1
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
--- a/tests/processes/test_operators.py
+++ b/tests/processes/test_operators.py
@@ -39,13 +39,13 @@
             assert codes == [0, 3, 3, 3]
             assert await async_versions(deployment, 3) == [1, 1, 1]
             # The reply is lost after the write has taken effect.
-            await deployment.async_fault(
+            await deployment.async_set_faults(
                 deployment.platform_url, lose_replies=1, write_prefix="applies/"
             )
             code, answer = await deployment.async_apply(two, 1, "--wait")
             assert (code, answer["version"]) == (0, 2)
             # The write is still on its way when it is given up.
-            await deployment.async_fault(
+            await deployment.async_set_faults(
                 deployment.platform_url, late_writes=1, late_write_s=0.5
             )
             code, answer = await deployment.async_apply(one, 2)
@@ -74,7 +74,7 @@
             code, answer = await deployment.async_apply(two, 1)
             assert (code, answer["version"]) == (0, 2)
             await deployment.async_until_served("n")
-            await deployment.async_fault(
+            await deployment.async_set_faults(
                 deployment.platform_url, table_out=True, objects_out=True
             )
             deployment.processes["gateway-1"].kill()
@@ -84,7 +84,7 @@
             # The cut-off daemon wakes during the outage and catches up likewise.
             frozen.wake()
             await deployment.async_until_served("n", gateway=2)
-            await deployment.async_fault(
+            await deployment.async_set_faults(
                 deployment.platform_url, table_out=False, objects_out=False
             )
 
--- a/tests/processes/test_path.py
+++ b/tests/processes/test_path.py
@@ -26,7 +26,7 @@
             await _async_check_answers(deployment)
             await _async_check_refusals(deployment)
             await _async_check_operator(deployment)
-            await deployment.async_assert_memory_kept()
+            await deployment.async_assert_no_overcommit()
 
     asyncio.run(async_scenario())
 
--- a/tests/processes/test_reachability.py
+++ b/tests/processes/test_reachability.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from .deployment import OTHER_KEY, async_deploy, async_start_all, key_hash
-from .scenarios import async_until_replicas, async_with_service
+from .scenarios import async_run_with_service, async_until_replicas
 
 
 class Probe:
@@ -68,7 +68,7 @@
             await probe.async_stop()
             assert probe.failures == []
             assert probe.answered > 50
-            await deployment.async_assert_memory_kept()
+            await deployment.async_assert_no_overcommit()
 
     asyncio.run(async_scenario())
 
@@ -94,7 +94,7 @@
 
             await deployment.async_until(async_is_refused)
             await deployment.async_until_served("m", "n", "o")
-            await deployment.async_assert_memory_kept()
+            await deployment.async_assert_no_overcommit()
 
     asyncio.run(async_scenario())
 
@@ -104,19 +104,19 @@
         fleet = deployment.fleet_text({"m": {"memory_mb": 40, "replicas": 2}})
         await deployment.async_apply(fleet, 1, "--wait")
         await async_until_replicas(deployment, "m", 2)
-        before = len(await deployment.async_reached_ids())
+        before = len(await deployment.async_received_ids())
         for values in deployment.engines.values():
-            await deployment.async_fault(values["url"], errors=100_000)
+            await deployment.async_set_faults(values["url"], errors=100_000)
         sent = 200
         for start in range(0, sent, 20):
             await asyncio.gather(
                 *(deployment.async_complete("m", f"p{start + n}") for n in range(20))
             )
-        reached = len(await deployment.async_reached_ids()) - before
+        reached = len(await deployment.async_received_ids()) - before
         # A tenth of the requests, and the reserve of a quiet gateway.
         assert reached <= sent * 1.1 + 10
 
-    asyncio.run(async_with_service(tmp_path, async_scenario))
+    asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
 def test_one_callers_flood_leaves_another_callers_answers_as_they_were(tmp_path):
--- a/tests/processes/test_restored_store.py
+++ b/tests/processes/test_restored_store.py
@@ -80,7 +80,7 @@
         for number in range(DAEMONS):
             deployment.start_daemon(number)
         await restored
-        await deployment.async_until_complete(list(range(DAEMONS)))
+        await deployment.async_until_all_listed(list(range(DAEMONS)))
         await async_until_all(deployment, "/again/x", 404)
         await deployment.async_configure(3 + LOST)
         await async_until_all(deployment, "/again/x", 200)
--- a/tests/processes/test_stops.py
+++ b/tests/processes/test_stops.py
@@ -14,7 +14,7 @@
 
 from .deployment import FAILURES, GATEWAY_PORT, KEY, async_deploy, async_start_all
 from .entry_deployment import FIRST_PORT, async_entry_deployment
-from .stop_walk import StopWalk
+from .shutdown_sweep import ShutdownSweep
 
 STREAM_EVENTS = 400
 """So many take some 2.3 s; the route allows 4."""
@@ -62,7 +62,7 @@
 ):
     async def async_test():
         async with async_entry_deployment(tmp_path, 2) as deployment:
-            walk = StopWalk(
+            sweep = ShutdownSweep(
                 deployment.processes["vm-0"],
                 deployment.address(0),
                 FIRST_PORT,
@@ -70,12 +70,12 @@
                 has_stalls=has_stalls,
             )
             streams = asyncio.ensure_future(async_stream_on(deployment))
-            await walk.async_run("q")
+            await sweep.async_run("q")
             assert await streams > 2
             endpoints = await deployment.async_endpoints()
-            run_ids = {run for row in endpoints.values() for run in row["runs"]}
-            assert walk.lost(run_ids) == []
-            assert sum(a.status == 200 for a in walk.arrivals) > 50
+            executed_ids = {run for row in endpoints.values() for run in row["runs"]}
+            assert sweep.lost_requests(executed_ids) == []
+            assert sum(a.status == 200 for a in sweep.requests) > 50
 
     asyncio.run(async_test())
 
@@ -99,17 +99,17 @@
             fleet = deployment.fleet_text({"m": {"memory_mb": 40}})
             await deployment.async_apply(fleet, 0, "--wait")
             await deployment.async_until_served("m")
-            walk = StopWalk(
+            sweep = ShutdownSweep(
                 deployment.processes["gateway-1"],
-                f"{deployment.net}.11",
+                f"{deployment.subnet}.11",
                 GATEWAY_PORT,
                 make_gateway_request,
                 has_stalls=has_stalls,
             )
-            await walk.async_run("q")
+            await sweep.async_run("q")
             url = deployment.services["service-1"]
             runs = await deployment.async_get(f"{url}/standin/executions")
-            assert walk.lost({run["body"] for run in runs}) == []
-            assert sum(a.status == 200 for a in walk.arrivals) > 20
+            assert sweep.lost_requests({run["body"] for run in runs}) == []
+            assert sum(a.status == 200 for a in sweep.requests) > 20
 
     asyncio.run(async_test())
