--- a/tests/processes/chaos.py
+++ b/tests/processes/chaos.py
@@ -1,6 +1,6 @@
-"""Random faults on real processes, with the promises judged from outside.
+"""Injects random faults into real processes, and checks the guarantees from outside.
 
-Run with ``make chaos SEED=1 SECONDS=60``; the same seed chooses the same faults in
+Run with ``make chaos SEED=1 SECONDS=60``; the same seed selects the same faults in
 the same order.
 """
 
@@ -20,8 +20,12 @@
 from .scenarios import async_stream
 
 SETTLE_S = 90.0
-FIRST = {"m": {"memory_mb": 40}, "n": {"memory_mb": 30}, "o": {"memory_mb": 55}}
-SECOND = {
+INITIAL_MODELS = {
+    "m": {"memory_mb": 40},
+    "n": {"memory_mb": 30},
+    "o": {"memory_mb": 55},
+}
+UPDATED_MODELS = {
     "m": {"memory_mb": 40, "version": 2},
     "n": {"memory_mb": 30},
     "o": {"memory_mb": 55},
@@ -40,7 +44,7 @@
 
 
 class Chaos:
-    """One run: load, faults and what was seen."""
+    """A run with load and faults, and the outcomes and violations it observed."""
 
     def __init__(self, deployment: Deployment, seed: int, seconds: float) -> None:
         self._deployment = deployment
@@ -56,18 +60,20 @@
 
     async def async_run(self) -> None:
         await self._async_start()
-        workers = [asyncio.ensure_future(self._async_load(n)) for n in range(6)]
-        workers += [asyncio.ensure_future(self._async_keyed(n)) for n in range(3)]
+        workers = [asyncio.ensure_future(self._async_send_load(n)) for n in range(6)]
+        workers += [
+            asyncio.ensure_future(self._async_send_keyed_requests(n)) for n in range(3)
+        ]
         loop = asyncio.get_running_loop()
         end_s = loop.time() + self._seconds
         while loop.time() < end_s:
             await self._async_inject()
             await asyncio.sleep(self._rng.uniform(0.2, 1.0))
-        await self._async_heal()
+        await self._async_clear_faults()
         await asyncio.sleep(2)
         self._stop.set()
         await asyncio.gather(*workers)
-        await self._async_judge()
+        await self._async_check_guarantees()
 
     async def _async_start(self) -> None:
         deployment = self._deployment
@@ -80,10 +86,10 @@
             deployment, gateways=3, director_extra="order_lateness_s = 20\n"
         )
         await self._async_apply()
-        await deployment.async_until_served(*FIRST)
+        await deployment.async_until_served(*INITIAL_MODELS)
 
     async def _async_apply(self) -> None:
-        models = SECOND if self._version % 2 else FIRST
+        models = UPDATED_MODELS if self._version % 2 else INITIAL_MODELS
         text = self._deployment.fleet_text(models)
         code, answer = await self._deployment.async_apply(text, self._version)
         if code == 0:
@@ -96,38 +102,40 @@
                 self.violations.append(f"version went down to {found}")
             self._version = max(found, self._version)
 
-    async def _async_load(self, worker: int) -> None:
+    async def _async_send_load(self, worker: int) -> None:
         number = 0
         while not self._stop.is_set():
             number += 1
             model, prompt = "mno"[number % 3], f"{worker} {number}"
             gateway = 1 + (worker + number) % 3
             with contextlib.suppress(*FAILURES):
-                await self._async_ask(model, prompt, gateway, number % 2 == 0)
+                await self._async_send_completion(
+                    model, prompt, gateway, number % 2 == 0
+                )
             await asyncio.sleep(0.02)
 
-    async def _async_ask(self, model, prompt, gateway, is_stream) -> None:
-        wanted = expected_text(model, prompt, 6)
+    async def _async_send_completion(self, model, prompt, gateway, is_stream) -> None:
+        expected = expected_text(model, prompt, 6)
         if is_stream:
             status, text, has_end = await async_stream(
                 self._deployment, model, prompt, 6, gateway
             )
-            is_whole = status == 200 and has_end
-            if not wanted.startswith(text) or (is_whole and text != wanted):
+            is_complete = status == 200 and has_end
+            if not expected.startswith(text) or (is_complete and text != expected):
                 self.violations.append(f"stream {prompt}: {text!r}")
-            self.outcomes["whole" if is_whole else "not whole, said so"] += 1
+            self.outcomes["complete" if is_complete else "incomplete stream"] += 1
             return
         status, headers, body = await self._deployment.async_complete(
             model, prompt, gateway=gateway, max_tokens=6
         )
-        outcome = headers.get("Chutelink-Outcome", "whole")
+        outcome = headers.get("Chutelink-Outcome", "complete")
         self.outcomes[outcome] += 1
-        if status == 200 and body["choices"][0]["message"]["content"] != wanted:
+        if status == 200 and body["choices"][0]["message"]["content"] != expected:
             self.violations.append(f"answer {prompt}: {body}")
         if outcome == "not-run":
             self._not_run.add(headers["X-Request-Id"])
 
-    async def _async_keyed(self, worker: int) -> None:
+    async def _async_send_keyed_requests(self, worker: int) -> None:
         number = 0
         while not self._stop.is_set():
             number += 1
@@ -159,7 +167,7 @@
                 self._async_platform_fault,
                 self._async_process_fault,
                 self._async_service_fault,
-                self._async_change,
+                self._async_change_fleet,
             ]
         )
         with contextlib.suppress(*FAILURES):
@@ -240,7 +248,7 @@
         url = self._deployment.services["service-1"]
         await self._deployment.async_set_faults(url, **fault)
 
-    async def _async_change(self) -> None:
+    async def _async_change_fleet(self) -> None:
         if self._rng.random() < 0.5:
             self.faults["apply"] += 1
             await self._async_apply()
@@ -249,7 +257,7 @@
         self.faults["vm leaving" if leaving else "vms back"] += 1
         await self._deployment.async_set_vms(leaving)
 
-    async def _async_heal(self) -> None:
+    async def _async_clear_faults(self) -> None:
         deployment = self._deployment
         await deployment.async_set_faults(
             deployment.platform_url,
@@ -264,7 +272,7 @@
             await deployment.async_set_faults(values["url"], **FAULTS_OFF)
         await deployment.async_set_vms()
 
-    async def _async_judge(self) -> None:
+    async def _async_check_guarantees(self) -> None:
         deployment = self._deployment
         for name, account in (await deployment.async_accounts()).items():
             if account["overcommits"]:
@@ -283,13 +291,15 @@
         for key, outcomes in self._keys.items():
             if outcomes == {"not-run"} and runs[key]:
                 self.violations.append(f"key {key} ran though only not-run was said")
-        await self._async_judge_recovery()
+        await self._async_check_recovery()
 
-    async def _async_judge_recovery(self) -> None:
+    async def _async_check_recovery(self) -> None:
         try:
             async with asyncio.timeout(SETTLE_S):
                 for gateway in (1, 2, 3):
-                    await self._deployment.async_until_served(*FIRST, gateway=gateway)
+                    await self._deployment.async_until_served(
+                        *INITIAL_MODELS, gateway=gateway
+                    )
                 while not await self._async_is_settled():
                     await asyncio.sleep(0.5)
         except TimeoutError:
@@ -316,8 +326,8 @@
         return states == [(status["version"], True)] * 5 and has_replicas
 
 
-async def async_chaos(directory: Path, seed: int, seconds: float) -> Chaos:
-    """Run with a seed and return what was seen."""
+async def async_run_chaos(directory: Path, seed: int, seconds: float) -> Chaos:
+    """Run with a seed and return the completed run."""
     async with async_deploy(directory) as deployment:
         chaos = Chaos(deployment, seed, seconds)
         await chaos.async_run()
@@ -325,7 +335,7 @@
 
 
 def main() -> int:
-    """Run from the command line and print what was done and seen."""
+    """Run from the command line, and print the faults, outcomes and violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
@@ -334,7 +344,7 @@
     print(f"seed={args.seed} seconds={args.seconds:g}", flush=True)
     directory = args.keep_logs or Path(tempfile.mkdtemp())
     directory.mkdir(parents=True, exist_ok=True)
-    chaos = asyncio.run(async_chaos(directory, args.seed, args.seconds))
+    chaos = asyncio.run(async_run_chaos(directory, args.seed, args.seconds))
     print("faults:", dict(sorted(chaos.faults.items())))
     print("outcomes:", dict(sorted(chaos.outcomes.items())))
     for violation in chaos.violations:
--- a/tests/processes/deadly_soak.py
+++ b/tests/processes/deadly_soak.py
@@ -1,14 +1,18 @@
-"""Soak of requests that end endpoints, with daemons as processes and faults outside.
+"""Soak test of requests that crash endpoints, with faults in daemons and the store.
 
-``python -m tests.processes.deadly_soak --seeds 50 --seconds 20`` runs fresh seeds by
-hand; the same seed draws the same faults. Daemons are killed, stopped, frozen and
-started, the store is out, rows of other writers come and go, all overlapping, while
-callers send deadly and good requests over kept connections.
+``python -m tests.processes.deadly_soak --seeds 50 --seconds 20`` runs new seeds; the
+same seed selects the same faults. Daemons are killed, stopped, frozen and restarted,
+the store has outages, and rows of other writers appear and disappear. These faults
+overlap while clients send crashing and normal requests over keep-alive connections.
 
-Checked from outside: a deadly request begins to run at most ``MAX_LATE`` times later
-than ``CONTACT_S`` after the third end; what was refused as not run was not run;
-non-idempotent work ran at most once; good requests get their own whole answers, and
-are all served again within ``SETTLE_S`` once the faults are over.
+Checked from outside:
+
+- A crashing request starts at most ``MAX_LATE`` times later than ``CONTACT_S`` after
+  the third crash.
+- A request that was refused as not run did not run.
+- Non-idempotent requests run at most once.
+- Normal requests get their own complete responses, and are all served again within
+  ``SETTLE_S`` after the faults end.
 """
 
 from __future__ import annotations
@@ -32,16 +36,16 @@
 DAEMONS = 3
 CONTACT_S = 3.0
 MAX_LATE = 3
-"""What the operators allow: three retries, later than that after the third end."""
-FREE_ENDS = 3
+"""Operators allow three retries later than ``CONTACT_S`` after the third crash."""
+ALLOWED_CRASHES = 3
 SETTLE_S = 20.0
 MAX_STALL_S = 0.15
 NOT_RUN = frozenset({429, 503})
-FOREIGN = ("!!!", "", "eyJzZXJ2aWNlIjogMX0=", "Nw==", "bnVsbA==")
+FOREIGN_VALUES = ("!!!", "", "eyJzZXJ2aWNlIjogMX0=", "Nw==", "bnVsbA==")
 
 
-class DeadlySoak:
-    """One run with one seed."""
+class CrashSoak:
+    """A soak run with one seed."""
 
     def __init__(
         self,
@@ -53,7 +57,7 @@
     ) -> None:
         self._deployment = deployment
         self._has_stalls = has_stalls
-        # Of its own, so that a seed draws the same other faults with and without.
+        # A separate generator, so that stalls do not change the other faults of a seed.
         self._stall_rng = random.Random(f"stalls {seed}")
         self._rng = random.Random(seed)
         self._seconds = seconds
@@ -72,11 +76,11 @@
         if self._has_stalls:
             senders.append(asyncio.ensure_future(self._async_stall_until(end_s)))
         while loop.time() < end_s:
-            await self._async_fault()
+            await self._async_inject_fault()
             await asyncio.sleep(self._rng.uniform(0.1, 1.0))
         await asyncio.gather(*senders)
         await self._async_settle()
-        await self._async_judge()
+        await self._async_check_guarantees()
 
     async def _async_send_until(self, end_s: float, kind: str) -> None:
         rng = random.Random(self._rng.random())
@@ -88,9 +92,9 @@
 
     async def _async_send(self, session, kind: str, number: int) -> int:
         name = f"{kind}-{next(self._ids)}"
-        is_deadly = kind == "deadly"
-        path = "/again/bad" if is_deadly else f"/{kind}/{name}"
-        body = DEADLY if is_deadly else name.encode()
+        is_crashing = kind == "deadly"
+        path = "/again/bad" if is_crashing else f"/{kind}/{name}"
+        body = DEADLY if is_crashing else name.encode()
         address = f"http://{self._deployment.address(number)}:7100{path}"
         headers = {"Host": "a.example", "X-Request-Id": name, "X-Deadline-Ms": "3000"}
         try:
@@ -102,42 +106,42 @@
         self.statuses[f"{kind} {answer.status}"] += 1
         if answer.status in NOT_RUN:
             self._refused.add(name)
-        if answer.status == 200 and (is_deadly or content != b"done " + body):
-            self.violations.append(f"{name}: answered {content!r}")
+        if answer.status == 200 and (is_crashing or content != b"done " + body):
+            self.violations.append(f"{name}: wrong response {content!r}")
         return answer.status
 
-    async def _async_fault(self) -> None:
+    async def _async_inject_fault(self) -> None:
         number = self._rng.randrange(DAEMONS)
         fault = self._rng.choice(
             (self._async_kill, self._async_stop, self._async_freeze)
-            + (self._async_store_out, self._async_foreign)
+            + (self._async_store_out, self._async_write_foreign_row)
         )
         await fault(number, self._rng.uniform(0.2, 2.0))
 
-    async def _async_kill(self, number: int, for_s: float) -> None:
+    async def _async_kill(self, number: int, duration_s: float) -> None:
         self._deployment.processes[f"vm-{number}"].kill()
-        await asyncio.sleep(for_s / 4)
+        await asyncio.sleep(duration_s / 4)
         self._deployment.start_daemon(number)
 
-    async def _async_stop(self, number: int, for_s: float) -> None:
+    async def _async_stop(self, number: int, duration_s: float) -> None:
         process = self._deployment.processes[f"vm-{number}"]
         process.terminate()
         code = await process.async_wait()
-        # One that is stopped within its first half second has read nothing yet, and
-        # ends by the signal itself.
-        is_early = code == -signal.SIGTERM and not process.has_started
-        if code != 0 and not is_early:
-            self.violations.append(f"vm-{number} ended with {code} at a stop")
+        # Within its first half second a daemon has not installed its signal handler
+        # and has read no requests: it is terminated by the signal itself.
+        is_before_handler = code == -signal.SIGTERM and not process.has_started
+        if code != 0 and not is_before_handler:
+            self.violations.append(f"vm-{number} exited with {code} when stopped")
         self._deployment.start_daemon(number)
 
-    async def _async_freeze(self, number: int, for_s: float) -> None:
+    async def _async_freeze(self, number: int, duration_s: float) -> None:
         process = self._deployment.processes[f"vm-{number}"]
         process.send(signal.SIGSTOP)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         process.send(signal.SIGCONT)
 
     async def _async_stall_until(self, end_s: float) -> None:
-        """Pause one daemon after the other, each for less than any time limit."""
+        """Pause random daemons in turn, each for less than any time limit."""
         rng = self._stall_rng
         while asyncio.get_running_loop().time() < end_s:
             process = self._deployment.processes[f"vm-{rng.randrange(DAEMONS)}"]
@@ -146,24 +150,24 @@
             process.send(signal.SIGCONT)
             await asyncio.sleep(rng.uniform(0.0, MAX_STALL_S))
 
-    async def _async_store_out(self, number: int, for_s: float) -> None:
+    async def _async_store_out(self, number: int, duration_s: float) -> None:
         await self._deployment.async_store_faults(is_out=True)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         await self._deployment.async_store_faults(is_out=False)
 
-    async def _async_foreign(self, number: int, for_s: float) -> None:
+    async def _async_write_foreign_row(self, number: int, duration_s: float) -> None:
         table = self._rng.choice(("servers", "chutelink-quarantine"))
         url = f"{self._deployment.store_url}/standin/rows/{table}/foreign"
         session = self._deployment.session
-        async with session.put(url, data=self._rng.choice(FOREIGN)) as answer:
+        async with session.put(url, data=self._rng.choice(FOREIGN_VALUES)) as answer:
             assert answer.status == 200
-        await asyncio.sleep(for_s / 4)
+        await asyncio.sleep(duration_s / 4)
         if self._rng.random() < 0.5:
             async with session.delete(url) as answer:
                 assert answer.status == 200
 
     async def _async_settle(self) -> None:
-        """Wait until each daemon serves, with the faults over."""
+        """Wait until each daemon serves requests after the faults have ended."""
 
         async def async_check() -> bool:
             served = [
@@ -175,22 +179,26 @@
         try:
             await self._deployment.async_until(async_check, SETTLE_S)
         except TimeoutError:
-            self.violations.append(f"not served within {SETTLE_S} s")
+            self.violations.append(f"not all daemons serve requests after {SETTLE_S} s")
 
-    async def _async_judge(self) -> None:
+    async def _async_check_guarantees(self) -> None:
         for number in range(DAEMONS):
             for _ in range(2):
                 session = self._deployment.session
                 await self._async_send(session, "deadly", number)
         endpoints = (await self._deployment.async_endpoints()).values()
-        begun_s = sorted(at_s for e in endpoints for at_s in e["deadly_s"])
-        limit_s = begun_s[FREE_ENDS - 1] + CONTACT_S if len(begun_s) > 2 else 0.0
-        late = [at_s for at_s in begun_s if at_s > limit_s] if limit_s else []
-        self.statuses["deadly runs"] = len(begun_s)
+        started_s = sorted(at_s for e in endpoints for at_s in e["deadly_s"])
+        limit_s = (
+            started_s[ALLOWED_CRASHES - 1] + CONTACT_S if len(started_s) > 2 else 0.0
+        )
+        late = [at_s for at_s in started_s if at_s > limit_s] if limit_s else []
+        self.statuses["deadly runs"] = len(started_s)
         if len(late) > MAX_LATE:
-            self.violations.append(f"{len(late)} late of {len(begun_s)} deadly runs")
+            self.violations.append(
+                f"{len(late)} of {len(started_s)} crashing runs started too late"
+            )
         runs = Counter(name for e in endpoints for name in e["runs"])
-        self.violations += [f"{n}: refused, and ran" for n in self._refused & set(runs)]
+        self.violations += [f"{n}: refused, but ran" for n in self._refused & set(runs)]
         self.violations += [
             f"{name}: ran {count} times"
             for name, count in runs.items()
@@ -198,19 +206,21 @@
         ]
 
 
-async def async_soak(
+async def async_run_soak(
     directory: Path, seed: int, seconds: float, *, has_stalls: bool = False
-) -> DeadlySoak:
-    """Run one seed to its end."""
+) -> CrashSoak:
+    """Run one seed to completion."""
     async with async_entry_deployment(directory, DAEMONS) as deployment:
-        soak = DeadlySoak(deployment, seed, seconds, has_stalls=has_stalls)
+        soak = CrashSoak(deployment, seed, seconds, has_stalls=has_stalls)
         await soak.async_run()
         return soak
 
 
 def main() -> int:
-    """Run fresh seeds from the command line."""
-    parser = argparse.ArgumentParser(description="Soak of deadly requests.")
+    """Run new seeds from the command line."""
+    parser = argparse.ArgumentParser(
+        description="Soak test of requests that crash endpoints."
+    )
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=20.0)
@@ -220,7 +230,7 @@
     for seed in range(args.first, args.first + args.seeds):
         directory = Path(tempfile.mkdtemp(prefix=f"deadly-soak-{seed}-"))
         soak = asyncio.run(
-            async_soak(directory, seed, args.seconds, has_stalls=args.stalls)
+            async_run_soak(directory, seed, args.seconds, has_stalls=args.stalls)
         )
         print(seed, dict(sorted(soak.statuses.items())), soak.violations, flush=True)
         if soak.violations:
--- a/tests/processes/test_answers.py
+++ b/tests/processes/test_answers.py
@@ -1,4 +1,4 @@
-"""Whole answers and honest refusals, judged by callers and endpoints."""
+"""Responses are complete and refusals are correct, as clients and endpoints see it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_a_call_that_may_not_be_repeated_is_sent_once(tmp_path):
+def test_non_idempotent_request_is_sent_once(tmp_path):
     async def async_scenario(deployment):
         url = deployment.services["service-1"]
         for fault in ({"cut_answers": 1}, {"cut_before_run": 1}, {"wrong_ids": 1}):
@@ -35,7 +35,7 @@
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
-def test_answers_are_whole_and_the_callers_own(tmp_path):
+def test_responses_are_complete_and_match_their_requests(tmp_path):
     async def async_scenario(deployment):
         stop = asyncio.Event()
 
@@ -46,25 +46,27 @@
                 {"late_answers": 2, "late_answer_s": 0.3},
                 {"errors": 1},
             ]
-            for turn in range(10_000):
+            for round_number in range(10_000):
                 if stop.is_set():
                     return
                 for values in deployment.engines.values():
-                    await deployment.async_set_faults(values["url"], **faults[turn % 4])
+                    await deployment.async_set_faults(
+                        values["url"], **faults[round_number % 4]
+                    )
                 await asyncio.sleep(0.1)
 
         counts = {"whole": 0, "refused": 0, "no end": 0}
 
-        async def async_ask(number):
+        async def async_send_request(number):
             model, prompt = ("m", "n")[number % 2], f"prompt {number}"
             gateway = 1 + number % 2
-            wanted = expected_text(model, prompt, 5)
+            expected = expected_text(model, prompt, 5)
             if number % 3 == 0:
                 status, text, has_end = await async_stream(
                     deployment, model, prompt, 5, gateway
                 )
                 if status == 200 and not has_end:
-                    assert wanted.startswith(text)
+                    assert expected.startswith(text)
                     counts["no end"] += 1
                     return
             else:
@@ -75,12 +77,14 @@
             if status != 200:
                 counts["refused"] += 1
                 return
-            assert text == wanted
+            assert text == expected
             counts["whole"] += 1
 
         injector = asyncio.ensure_future(async_inject())
         for start in range(0, 600, 40):
-            await asyncio.gather(*(async_ask(n) for n in range(start, start + 40)))
+            await asyncio.gather(
+                *(async_send_request(n) for n in range(start, start + 40))
+            )
         stop.set()
         await injector
         assert counts["whole"] > 300, counts
@@ -88,7 +92,7 @@
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
-def test_a_cut_stream_goes_on_elsewhere(tmp_path):
+def test_cut_stream_resumes_on_another_engine(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
@@ -106,17 +110,17 @@
                 await deployment.async_set_faults(url, cut_answers=1)
                 for turn in range(4):
                     prompt = f"{number} {turn}"
-                    found = await async_stream(deployment, "m", prompt, 8)
-                    assert found == (200, expected_text("m", prompt, 8), True)
+                    result = await async_stream(deployment, "m", prompt, 8)
+                    assert result == (200, expected_text("m", prompt, 8), True)
 
     asyncio.run(async_scenario())
 
 
-def test_not_run_was_not_run(tmp_path):
+def test_requests_refused_as_not_run_did_not_run(tmp_path):
     async def async_scenario(deployment):
         refused: list[str] = []
 
-        async def async_ask(number):
+        async def async_send_request(number):
             try:
                 status, headers, _ = await deployment.async_complete(
                     "m", f"p{number}", gateway=1 + number % 2
@@ -128,8 +132,8 @@
 
         for round_number in range(6):
             victim = deployment.processes[f"engine-{1 + round_number % 2}"]
-            asks = [async_ask(round_number * 100 + n) for n in range(100)]
-            running = asyncio.gather(*asks)
+            requests = [async_send_request(round_number * 100 + n) for n in range(100)]
+            running = asyncio.gather(*requests)
             await asyncio.sleep(0.05)
             victim.freeze()
             await asyncio.sleep(1.2)
--- a/tests/processes/test_deadly_requests.py
+++ b/tests/processes/test_crashing_requests.py
@@ -1,9 +1,9 @@
-"""A request that ends its endpoints, sent to one daemon after the other.
+"""A request that crashes endpoints, sent to each daemon in turn.
 
-The failure that these tests guard against is told in
-tests/relaying/test_deadly_requests.py.
-Here daemons are processes of their own: what one has seen, the others must know, also
-one that is started afterwards.
+Each daemon on its own would let such a request crash further endpoints. The daemons
+run as separate processes here, and must share what one of them has observed, also
+with a daemon that starts later. The tests of crashing requests in tests/relaying
+describe the underlying failure.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from .entry_deployment import async_entry_deployment
 
 ATTEMPTS = 12
-MAX_ENDS = 3
-"""What the operators allow before repeats are counted."""
-TELL_S = 0.3
-"""Between two attempts: daemons on one machine hear of each other in some ms."""
+MAX_CRASHES = 3
+"""Crashes that operators allow before repeats are counted."""
+PROPAGATION_S = 0.3
+"""Pause between attempts; daemons on one machine inform each other within ms."""
 
 
 async def async_send(deployment, number: int, name: str) -> int:
@@ -27,28 +27,28 @@
         return answer.status
 
 
-async def async_ends(deployment) -> int:
+async def async_count_crashes(deployment) -> int:
     return sum(e["ends"] for e in (await deployment.async_endpoints()).values())
 
 
-def test_what_one_daemon_saw_ends_no_endpoint_through_another(tmp_path):
+def test_daemons_share_observed_crashes(tmp_path):
     async def async_test():
         async with async_entry_deployment(tmp_path, 3) as deployment:
             for attempt in range(ATTEMPTS):
                 await async_send(deployment, attempt % 3, f"bad-{attempt}")
-                await asyncio.sleep(TELL_S)
-            assert 1 <= await async_ends(deployment) <= MAX_ENDS
+                await asyncio.sleep(PROPAGATION_S)
+            assert 1 <= await async_count_crashes(deployment) <= MAX_CRASHES
 
     asyncio.run(async_test())
 
 
-def test_a_daemon_that_was_started_afterwards_knows_it_too(tmp_path):
+def test_restarted_daemons_know_earlier_crashes(tmp_path):
     async def async_test():
         async with async_entry_deployment(tmp_path, 2) as deployment:
             for attempt in range(6):
                 await async_send(deployment, attempt % 2, f"bad-{attempt}")
-                await asyncio.sleep(TELL_S)
-            before = await async_ends(deployment)
+                await asyncio.sleep(PROPAGATION_S)
+            before = await async_count_crashes(deployment)
             for number in range(2):
                 deployment.processes[f"vm-{number}"].kill()
             for number in range(2):
@@ -56,13 +56,13 @@
             await deployment.async_until_all_listed([0, 1])
             for attempt in range(6, 12):
                 await async_send(deployment, attempt % 2, f"bad-{attempt}")
-            assert await async_ends(deployment) == before
+            assert await async_count_crashes(deployment) == before
 
     asyncio.run(async_test())
 
 
-def test_daemons_serve_though_the_table_of_holds_can_not_be_read(tmp_path):
-    """The store may be away in part; what it holds besides is enough to serve."""
+def test_daemons_serve_while_quarantine_table_is_unreadable(tmp_path):
+    """In a partial outage of the store, its other tables are enough to serve."""
 
     async def async_test():
         async with async_entry_deployment(tmp_path, 1) as deployment:
--- a/tests/processes/test_departures.py
+++ b/tests/processes/test_departures.py
@@ -1,4 +1,4 @@
-"""Endpoints and daemons that leave while callers go on."""
+"""Endpoints and daemons that leave while clients keep sending requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .scenarios import async_run_with_service, async_until_replicas
 
 
-def test_a_leaving_endpoint_gets_no_new_work(tmp_path):
+def test_leaving_endpoint_receives_no_new_requests(tmp_path):
     async def async_scenario(deployment):
         await deployment.async_set_vms()
         fleet = deployment.fleet_text({"m": {"memory_mb": 40, "replicas": 2}})
@@ -32,14 +32,14 @@
                     failures.append(status)
 
         async def async_until_answered(count):
-            wanted = answered + count
+            target = answered + count
 
             async def async_is_answered():
-                return answered >= wanted
+                return answered >= target
 
             await deployment.async_until(async_is_answered)
 
-        async def async_is_seen():
+        async def async_gateways_know():
             _, status = await deployment.async_cli("status")
             found = [d["endpoints"]["engine-1"] for d in status["daemons"]]
             gateways = [d["role"] == "gateway" for d in status["daemons"]]
@@ -52,8 +52,8 @@
         workers = [asyncio.ensure_future(async_load()) for _ in range(8)]
         await async_until_answered(100)
         await deployment.async_set_vms(leaving=("vm-engine-1",))
-        await deployment.async_until(async_is_seen)
-        # More than the requests that may have been on their way.
+        await deployment.async_until(async_gateways_know)
+        # More than the number of requests that may be in flight.
         await async_until_answered(50)
         url = deployment.engines["engine-1"]["url"]
         before = len(await deployment.async_get(f"{url}/standin/requests"))
@@ -68,8 +68,8 @@
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
-class AddressBook:
-    """A caller that asks for addresses and keeps the answer while it is valid."""
+class AddressCache:
+    """A client that looks up gateway addresses and caches them while they are valid."""
 
     def __init__(self, deployment):
         self._deployment = deployment
@@ -101,17 +101,17 @@
         return True
 
 
-def test_a_rolling_restart_under_load_fails_no_request(tmp_path):
+def test_rolling_restart_under_load_fails_no_request(tmp_path):
     async def async_scenario(deployment):
         stop = asyncio.Event()
         failures, done = [], []
 
         async def async_load(number):
-            book = AddressBook(deployment)
+            addresses = AddressCache(deployment)
             body = {"model": "m", "prompt": f"w{number}", "max_tokens": 20}
-            wanted = expected_text("m", f"w{number}", 20)
+            expected = expected_text("m", f"w{number}", 20)
             while not stop.is_set():
-                url = await book.async_url()
+                url = await addresses.async_url()
                 try:
                     async with deployment.session.post(
                         f"{url}/v1/completions",
@@ -120,7 +120,7 @@
                     ) as response:
                         answer = await response.json(content_type=None)
                         is_whole = response.status == 200
-                        is_whole = is_whole and answer["choices"][0]["text"] == wanted
+                        is_whole = is_whole and answer["choices"][0]["text"] == expected
                         (done if is_whole else failures).append(answer)
                 except aiohttp.ClientError as error:
                     failures.append(repr(error))
--- a/tests/processes/test_entry.py
+++ b/tests/processes/test_entry.py
@@ -1,4 +1,4 @@
-"""The path on the prepared machines, in separate processes, under failure."""
+"""Entry daemons as separate processes, under failures."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def async_until_served(deployment, number: int, model: str) -> bytes:
-    """Ask again as callers do, as long as the daemon says that nothing was run."""
+    """Retry as clients do, as long as the daemon reports that nothing was run_test."""
     body = b""
 
     async def async_check() -> bool:
@@ -43,7 +43,7 @@
     return body
 
 
-def run(test, tmp_path, daemons: int = 3) -> None:
+def run_test(test, tmp_path, daemons: int = 3) -> None:
     async def async_run():
         async with async_entry_deployment(tmp_path, daemons) as deployment:
             await test(deployment)
@@ -51,7 +51,7 @@
     asyncio.run(async_run())
 
 
-def test_every_model_is_reached_through_every_daemon(tmp_path):
+def test_every_daemon_serves_every_model(tmp_path):
     async def async_test(deployment):
         for number in range(3):
             for model in ("m0", "m1", "m2", "m3"):
@@ -60,10 +60,10 @@
             async with deployment.request(number, "/once/x", new_id()) as answer:
                 assert answer.status == 200
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_a_change_is_in_force_everywhere_and_stays(tmp_path):
+def test_change_is_applied_everywhere_and_not_reverted(tmp_path):
     async def async_test(deployment):
         await deployment.async_configure(2, routes=[])
 
@@ -80,10 +80,10 @@
             assert await async_is_gone()
             await asyncio.sleep(0.05)
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_a_malformed_configuration_leaves_the_one_in_force(tmp_path):
+def test_malformed_configuration_keeps_current_one(tmp_path):
     async def async_test(deployment):
         await deployment.async_configure(2, services="nothing")
         await deployment.async_configure(3, routes=[{"name": "half"}])
@@ -91,10 +91,10 @@
         async with deployment.request(0, "/once/x", new_id()) as answer:
             assert answer.status == 200
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_a_daemon_that_stops_leaves_the_addresses_and_cuts_nothing(tmp_path):
+def test_stopping_daemon_leaves_addresses_and_completes_streams(tmp_path):
     async def async_test(deployment):
         sent = stream_headers("m0") | {"X_Token_Count": "10,200"}
         task = asyncio.ensure_future(
@@ -107,28 +107,28 @@
         assert body.count(b"id: ") == 200
         assert await deployment.processes["vm-0"].async_wait() == 0
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_a_killed_placer_is_replaced(tmp_path):
+def test_killed_placer_is_replaced(tmp_path):
     async def async_test(deployment):
         await async_until_served(deployment, 0, "m3")
         logs = {n: deployment.directory / f"vm-{n}.log" for n in range(3)}
         holder = next(n for n in logs if "lease_taken" in logs[n].read_text())
         deployment.processes[f"vm-{holder}"].kill()
         other = (holder + 1) % 3
-        # Four models do not fit at once: some order is needed for one of them.
+        # The four models do not all fit in memory: loading one requires an order.
         endpoints = await deployment.async_endpoints()
-        held = {m for e in endpoints.values() for m in e["models"]}
-        wanted = sorted({"m0", "m1", "m2", "m3"} - held) or ["m0"]
-        await async_until_served(deployment, other, wanted[0])
+        loaded = {m for e in endpoints.values() for m in e["models"]}
+        missing_models = sorted({"m0", "m1", "m2", "m3"} - loaded) or ["m0"]
+        await async_until_served(deployment, other, missing_models[0])
         orders = [o for e in endpoints.values() for o in e["orders"]]
         assert {order["fence"] for order in orders} <= {1}
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_a_store_that_is_away_stops_nothing_that_is_served(tmp_path):
+def test_serving_continues_during_store_outage(tmp_path):
     async def async_test(deployment):
         await deployment.async_store_faults(is_out=True)
         await asyncio.sleep(1.0)
@@ -140,15 +140,15 @@
         async def async_is_ready() -> bool:
             return await deployment.async_is_ready(2)
 
-        # What the store can't tell, the other daemons do.
+        # The daemon gets the data from the other daemons instead of the store.
         await deployment.async_until(async_is_ready)
         status, _ = await async_stream(deployment, 2, "m0")
         assert status == 200
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_all_daemons_come_back_after_losing_power_together(tmp_path):
+def test_all_daemons_recover_after_simultaneous_kill(tmp_path):
     async def async_test(deployment):
         await async_until_served(deployment, 0, "m2")
         for number in range(3):
@@ -159,10 +159,10 @@
         for model in ("m0", "m1", "m2", "m3"):
             await async_until_served(deployment, 1, model)
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_lost_history_is_read_anew(tmp_path):
+def test_lost_history_triggers_full_read(tmp_path):
     async def async_test(deployment):
         await deployment.async_endpoint("i-plain0", state="draining")
         async with deployment.session.post(f"{deployment.store_url}/standin/forget"):
@@ -175,11 +175,14 @@
 
         await deployment.async_until(async_is_refused)
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
-def test_a_change_arrives_though_all_connections_to_the_store_fell_silent(tmp_path):
-    """Without a reset; new connections work. The placer keeps its work too."""
+def test_change_arrives_after_store_connections_are_blackholed(tmp_path):
+    """The connections are blackholed without a reset, and new ones work.
+
+    The placer also goes on.
+    """
 
     async def async_test():
         async with async_entry_deployment(tmp_path, has_proxy=True) as deployment:
--- a/tests/processes/test_keyed_work.py
+++ b/tests/processes/test_keyed_work.py
@@ -1,4 +1,4 @@
-"""Keyed work runs at most once, whatever fails; judged by the services."""
+"""Requests with an idempotency key run at most once, as counted by the services."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .scenarios import async_executions, async_run_with_service
 
 
-def test_one_key_at_two_gateways_at_once_runs_once(tmp_path):
+def test_concurrent_requests_with_same_key_run_once(tmp_path):
     async def async_scenario(deployment):
         url = deployment.services["service-1"]
         await deployment.async_set_faults(url, delay_s=0.3)
@@ -34,7 +34,7 @@
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
-def test_a_key_whose_gateway_dies_is_never_run_again(tmp_path):
+def test_key_is_not_run_again_after_its_gateway_dies(tmp_path):
     async def async_scenario(deployment):
         url = deployment.services["service-1"]
         await deployment.async_set_faults(url, delay_s=2.0)
@@ -65,7 +65,7 @@
     return bool(await async_executions(deployment, key))
 
 
-def test_keyed_work_is_not_run_while_the_table_is_out_and_unkeyed_goes_on(tmp_path):
+def test_table_outage_stops_only_keyed_requests(tmp_path):
     async def async_scenario(deployment):
         platform = deployment.platform_url
         await deployment.async_set_faults(platform, table_out=True, objects_out=True)
@@ -93,7 +93,7 @@
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
-def test_claims_with_lost_and_late_replies_run_at_most_once(tmp_path):
+def test_claims_with_lost_replies_and_late_writes_run_at_most_once(tmp_path):
     async def async_scenario(deployment):
         platform = deployment.platform_url
         for number in range(6):
--- a/tests/processes/test_leaving_answers.py
+++ b/tests/processes/test_leaving_responses.py
@@ -1,4 +1,4 @@
-"""An endpoint whose answers say that it leaves while the store is away."""
+"""An endpoint whose responses announce that it is leaving during a store outage."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def async_send_for(deployment, duration_s: float, ids) -> None:
-    """Send to all daemons in turn, one request after the other."""
+    """Send requests to the daemons in turn, one at a time."""
     end_s = asyncio.get_running_loop().time() + duration_s
     while asyncio.get_running_loop().time() < end_s:
         number = next(ids)
@@ -25,21 +25,21 @@
         await asyncio.sleep(0.02)
 
 
-async def async_arrivals(deployment) -> int:
+async def async_count_arrivals(deployment) -> int:
     return len((await deployment.async_endpoints())[PLAIN]["arrived_s"])
 
 
-def test_no_daemon_uses_an_endpoint_that_left_while_the_store_was_away(tmp_path):
+def test_endpoint_leaving_during_store_outage_receives_no_requests(tmp_path):
     async def async_test():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
             await deployment.async_store_faults(is_out=True)
             await deployment.async_endpoint(PLAIN, says_leaving=True)
             ids = itertools.count()
             await async_send_for(deployment, FLOOD_S, ids)
-            assert await async_arrivals(deployment) >= 1
+            assert await async_count_arrivals(deployment) >= 1
             await asyncio.sleep(DRAIN_S)
-            before = await async_arrivals(deployment)
+            before = await async_count_arrivals(deployment)
             await async_send_for(deployment, FLOOD_S, ids)
-            assert await async_arrivals(deployment) == before
+            assert await async_count_arrivals(deployment) == before
 
     asyncio.run(async_test())
--- a/tests/processes/test_limits.py
+++ b/tests/processes/test_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that name a limit, behind daemons that are processes of their own."""
+"""Endpoints that announce a rate limit, with daemons as separate processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def async_flood(deployment, number: int, statuses: list[int]) -> None:
-    """Send to one daemon, one request after the other."""
+    """Send requests to one daemon, one at a time."""
     end_s = asyncio.get_running_loop().time() + FLOOD_S
     for count in itertools.count():
         if asyncio.get_running_loop().time() > end_s:
@@ -32,7 +32,7 @@
         await asyncio.sleep(PAUSE_S)
 
 
-def test_daemons_together_send_no_more_than_the_limit_that_an_endpoint_names(tmp_path):
+def test_daemons_together_respect_endpoint_limit(tmp_path):
     async def async_test():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
             for name in PLAIN:
@@ -51,8 +51,8 @@
     asyncio.run(async_test())
 
 
-def test_a_limit_is_kept_while_daemons_are_killed_and_started_again(tmp_path):
-    """One of them gives out the turns; a new process knows of no limit."""
+def test_endpoint_limit_holds_while_daemons_restart(tmp_path):
+    """One daemon grants the permits, and a restarted daemon knows no limits."""
 
     async def async_test():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
--- a/tests/processes/test_operators.py
+++ b/tests/processes/test_operators.py
@@ -1,4 +1,4 @@
-"""Configurations under failure: races, lost replies, outages, new daemons."""
+"""Configuration changes under races, lost replies, outages and restarts."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .deployment import async_deploy, async_start_all
 
-SMALL = {"m": {"memory_mb": 40}}
-BIGGER = {"m": {"memory_mb": 40}, "n": {"memory_mb": 20}}
+ONE_MODEL = {"m": {"memory_mb": 40}}
+TWO_MODELS = {"m": {"memory_mb": 40}, "n": {"memory_mb": 20}}
 
 
 async def async_versions(deployment, count):
-    """Return the versions in force of all daemons that answer."""
+    """Return the active versions of all daemons that respond, checking their number."""
     _, status = await deployment.async_cli("status")
     versions = [d["version"] for d in status["daemons"]]
     assert len(versions) == count, status
@@ -23,8 +23,8 @@
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
             await async_start_all(deployment, directors=("a",))
-            one = deployment.fleet_text(SMALL, domains=("a",))
-            two = deployment.fleet_text(BIGGER, domains=("a",))
+            one = deployment.fleet_text(ONE_MODEL, domains=("a",))
+            two = deployment.fleet_text(TWO_MODELS, domains=("a",))
             (tmp_path / "one.ini").write_text(one)
             (tmp_path / "two.ini").write_text(two)
             results = await asyncio.gather(
@@ -38,13 +38,13 @@
             codes = sorted(code for code, _ in results)
             assert codes == [0, 3, 3, 3]
             assert await async_versions(deployment, 3) == [1, 1, 1]
-            # The reply is lost after the write has taken effect.
+            # The reply is lost after the write was committed.
             await deployment.async_set_faults(
                 deployment.platform_url, lose_replies=1, write_prefix="applies/"
             )
             code, answer = await deployment.async_apply(two, 1, "--wait")
             assert (code, answer["version"]) == (0, 2)
-            # The write is still on its way when it is given up.
+            # The write is still in flight when the command gives up on it.
             await deployment.async_set_faults(
                 deployment.platform_url, late_writes=1, late_write_s=0.5
             )
@@ -59,13 +59,13 @@
     asyncio.run(async_scenario())
 
 
-def test_outage_new_daemon_and_cut_off_daemon(tmp_path):
+def test_restarted_and_frozen_daemons_catch_up_during_outage(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
             await async_start_all(deployment, gateways=3, directors=("a",))
-            one = deployment.fleet_text(SMALL, domains=("a",))
-            two = deployment.fleet_text(BIGGER, domains=("a",))
+            one = deployment.fleet_text(ONE_MODEL, domains=("a",))
+            two = deployment.fleet_text(TWO_MODELS, domains=("a",))
             code, _ = await deployment.async_apply(one, 0, "--wait")
             assert code == 0
             await deployment.async_until_served("m")
@@ -79,9 +79,9 @@
             )
             deployment.processes["gateway-1"].kill()
             deployment.start_gateway(1)
-            # With the table out, the new daemon has the version from its peers.
+            # During the table outage, the new daemon gets the version from its peers.
             await deployment.async_until_served("n", gateway=1)
-            # The cut-off daemon wakes during the outage and catches up likewise.
+            # The frozen daemon resumes during the outage and catches up the same way.
             frozen.wake()
             await deployment.async_until_served("n", gateway=2)
             await deployment.async_set_faults(
@@ -98,7 +98,7 @@
     asyncio.run(async_scenario())
 
 
-def test_a_file_that_cannot_be_resident_is_refused_and_changes_nothing(tmp_path):
+def test_fleet_exceeding_memory_is_rejected_without_effect(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
@@ -113,12 +113,12 @@
     asyncio.run(async_scenario())
 
 
-def test_apply_resume_says_what_became_of_it(tmp_path):
+def test_apply_resume_reports_outcome(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
             await async_start_all(deployment, gateways=1, directors=("a",))
-            fleet = deployment.fleet_text(SMALL, domains=("a",))
+            fleet = deployment.fleet_text(ONE_MODEL, domains=("a",))
             code, answer = await deployment.async_apply(fleet, 0)
             assert code == 0
             code, again = await deployment.async_cli(
--- a/tests/processes/test_path.py
+++ b/tests/processes/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, refusals included."""
+"""Requests through a complete deployment, including refusals."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .deployment import KEY, OTHER_KEY, async_deploy, async_start_all
 
 
-def test_whole_path_and_refusals(tmp_path):
+def test_complete_deployment_and_refusals(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
@@ -65,11 +65,11 @@
 
     assert await async_status("none") == 404
     assert await async_status("m", key="wrong") == 401
-    # A declared name and an undeclared one look the same to another caller.
+    # Another caller can't tell a declared name from an undeclared one.
     assert await async_status("m", key=OTHER_KEY) == 403
     assert await async_status("none", key=OTHER_KEY) == 403
     for is_stream in (False, True):
-        # The engine's own refusal is passed on, and tried nowhere else.
+        # A refusal by the engine is passed on and not retried elsewhere.
         body = {"model": "m", "prompt": "p", "temperature": 9, "stream": is_stream}
         async with deployment.session.post(
             f"{deployment.gateway_url(1)}/v1/completions",
--- a/tests/processes/test_reachability.py
+++ b/tests/processes/test_reachability.py
@@ -1,4 +1,4 @@
-"""Models stay reachable, and trouble stays where it is."""
+"""Models stay reachable, and failures stay isolated."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Probe:
-    """Asks for a model all the time and keeps what was not answered."""
+    """Sends requests for a model continuously, and collects the failures."""
 
     def __init__(self, deployment, model):
         self._deployment = deployment
@@ -43,7 +43,7 @@
     ]
 
 
-def test_a_new_version_comes_in_without_a_gap(tmp_path):
+def test_model_update_without_downtime(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
@@ -60,11 +60,11 @@
                 code, _ = await deployment.async_apply(text, base, "--wait")
                 assert code == 0
 
-                async def async_has_moved(version=version):
+                async def async_is_migrated(version=version):
                     claims = await async_claims(deployment, "m")
                     return [(v, s) for _, v, s in claims] == [(str(version), "loaded")]
 
-                await deployment.async_until(async_has_moved)
+                await deployment.async_until(async_is_migrated)
             await probe.async_stop()
             assert probe.failures == []
             assert probe.answered > 50
@@ -73,7 +73,7 @@
     asyncio.run(async_scenario())
 
 
-def test_models_of_a_lost_engine_come_back_elsewhere(tmp_path):
+def test_models_of_lost_engine_are_placed_elsewhere(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
@@ -99,7 +99,7 @@
     asyncio.run(async_scenario())
 
 
-def test_retries_do_not_raise_the_load_on_engines_in_trouble(tmp_path):
+def test_retries_do_not_overload_failing_engines(tmp_path):
     async def async_scenario(deployment):
         fleet = deployment.fleet_text({"m": {"memory_mb": 40, "replicas": 2}})
         await deployment.async_apply(fleet, 1, "--wait")
@@ -113,13 +113,13 @@
                 *(deployment.async_complete("m", f"p{start + n}") for n in range(20))
             )
         reached = len(await deployment.async_received_ids()) - before
-        # A tenth of the requests, and the reserve of a quiet gateway.
+        # Retries: at most a tenth of the requests, plus the reserve of an idle gateway.
         assert reached <= sent * 1.1 + 10
 
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
 
-def test_one_callers_flood_leaves_another_callers_answers_as_they_were(tmp_path):
+def test_flood_of_one_caller_does_not_affect_another(tmp_path):
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1, options=("--slots", "4"))
@@ -159,8 +159,8 @@
     asyncio.run(async_scenario())
 
 
-def test_a_new_version_comes_in_without_a_gap_where_reports_are_old(tmp_path):
-    """A gateway refused requests for a model that was loaded, as it did not know."""
+def test_model_update_without_downtime_with_old_reports(tmp_path):
+    """A gateway refused requests for a loaded model that it did not know about yet."""
 
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
@@ -181,11 +181,11 @@
             models["m"]["version"] = 2
             await deployment.async_apply(deployment.fleet_text(models), 1, "--wait")
 
-            async def async_has_moved():
+            async def async_is_migrated():
                 claims = await async_claims(deployment, "m")
                 return [(v, s) for _, v, s in claims] == [("2", "loaded")]
 
-            await deployment.async_until(async_has_moved)
+            await deployment.async_until(async_is_migrated)
             answered = probe.answered
 
             async def async_is_served_after_it():
--- a/tests/processes/test_restored_store.py
+++ b/tests/processes/test_restored_store.py
@@ -1,4 +1,4 @@
-"""A store that comes back older, before daemons in separate processes."""
+"""A store restored from a backup, with daemons as separate processes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 from .entry_deployment import FAILURES, async_entry_deployment
 
 DAEMONS = 3
-LOST = 12
-"""Configurations that are lost; few enough versions are given out again."""
+LOST_VERSIONS = 12
+"""Number of lost configurations.
+
+Large enough that the versions assigned after the restore stay below the lost ones.
+"""
 
 
 async def async_statuses(deployment, path: str) -> list[int]:
@@ -31,16 +34,16 @@
     await deployment.async_until(async_check)
 
 
-async def async_lose(deployment) -> None:
-    """Let configurations be in force that the store will lose."""
+async def async_apply_versions_to_lose(deployment) -> None:
+    """Apply configurations that the store will lose when it is restored."""
     await deployment.async_control_store("store/copy")
-    for version in range(2, 2 + LOST):
+    for version in range(2, 2 + LOST_VERSIONS):
         await deployment.async_configure(version)
-    await deployment.async_configure(2 + LOST, routes=[])
+    await deployment.async_configure(2 + LOST_VERSIONS, routes=[])
     await async_until_all(deployment, "/again/x", 404)
 
 
-def run(test, tmp_path) -> None:
+def run_test(test, tmp_path) -> None:
     async def async_run():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
             await test(deployment)
@@ -48,30 +51,30 @@
     asyncio.run(async_run())
 
 
-def test_changes_are_in_force_after_the_store_came_back_older(tmp_path):
-    """No daemon took in anything until as many versions were given out again."""
+def test_changes_are_applied_after_store_restore(tmp_path):
+    """Daemons used to ignore changes until as many versions were assigned again."""
 
     async def async_test(deployment):
-        await async_lose(deployment)
+        await async_apply_versions_to_lose(deployment)
         await deployment.async_control_store("store/restore")
-        # What was in force never goes back, though the older store shows it.
+        # The active configuration stays, although the store holds an older one.
         for _ in range(10):
             assert await async_statuses(deployment, "/again/x") == [404] * DAEMONS
-        await deployment.async_configure(3 + LOST)
+        await deployment.async_configure(3 + LOST_VERSIONS)
         await async_until_all(deployment, "/again/x", 200)
         await deployment.async_endpoint("i-plain0", state="draining")
         await deployment.async_endpoint("i-plain1", state="draining")
         await async_until_all(deployment, "/once/x", 503)
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
 
 
 @pytest.mark.parametrize("is_restored_first", [True, False])
-def test_all_lose_power_while_the_store_comes_back_older(tmp_path, is_restored_first):
-    """Nobody is left who knows what was lost."""
+def test_all_daemons_killed_during_store_restore(tmp_path, is_restored_first):
+    """No daemon is left that knows the lost configurations."""
 
     async def async_test(deployment):
-        await async_lose(deployment)
+        await async_apply_versions_to_lose(deployment)
         for number in range(DAEMONS):
             deployment.processes[f"vm-{number}"].kill()
         restored = asyncio.create_task(deployment.async_control_store("store/restore"))
@@ -82,7 +85,7 @@
         await restored
         await deployment.async_until_all_listed(list(range(DAEMONS)))
         await async_until_all(deployment, "/again/x", 404)
-        await deployment.async_configure(3 + LOST)
+        await deployment.async_configure(3 + LOST_VERSIONS)
         await async_until_all(deployment, "/again/x", 200)
         logs = [deployment.directory / f"vm-{n}.log" for n in range(DAEMONS)]
 
@@ -91,4 +94,4 @@
 
         await deployment.async_until(async_has_placer)
 
-    run(async_test, tmp_path)
+    run_test(async_test, tmp_path)
--- a/tests/processes/test_stops.py
+++ b/tests/processes/test_shutdown.py
@@ -1,8 +1,8 @@
-"""Requests that arrive while a daemon stops are answered, or left unread.
+"""Requests that arrive while a daemon shuts down are answered or left unread.
 
-What callers saw: a request on a connection that they had kept, or on a new one, got no
-answer though the daemon had read it; it was closed with the process, up to a second
-later. A non-idempotent request may not be sent again then.
+A stopping daemon used to read requests on keep-alive or new connections without
+answering them; the connections were closed when the process exited, up to a second
+later. Clients must not retry a non-idempotent request in that case.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .shutdown_sweep import ShutdownSweep
 
 STREAM_EVENTS = 400
-"""So many take some 2.3 s; the route allows 4."""
+"""The stream takes about 2.3 s; the route allows 4 s."""
 STREAM_DEADLINE_MS = "4000"
 STREAM_GAP_S = 0.9
 
@@ -29,8 +29,14 @@
     ).encode()
 
 
-async def async_stream_on(deployment) -> int:
-    """Keep a daemon from ending by streams, as long as it takes them."""
+async def async_keep_streaming(deployment) -> int:
+    """Keep a daemon from exiting by opening streams while it accepts them.
+
+    Returns
+    -------
+    int
+        Number of streams that were accepted; all of them were complete.
+    """
     headers = {
         "X_Model": "m0",
         "X_Token_Count": f"10,{STREAM_EVENTS}",
@@ -57,9 +63,7 @@
 
 
 @pytest.mark.parametrize("has_stalls", [False, True])
-def test_no_request_is_lost_at_any_moment_of_an_entry_daemons_stop(
-    tmp_path, has_stalls
-):
+def test_no_request_is_lost_during_entry_shutdown(tmp_path, has_stalls):
     async def async_test():
         async with async_entry_deployment(tmp_path, 2) as deployment:
             sweep = ShutdownSweep(
@@ -69,7 +73,7 @@
                 make_entry_request,
                 has_stalls=has_stalls,
             )
-            streams = asyncio.ensure_future(async_stream_on(deployment))
+            streams = asyncio.ensure_future(async_keep_streaming(deployment))
             await sweep.async_run("q")
             assert await streams > 2
             endpoints = await deployment.async_endpoints()
@@ -90,7 +94,7 @@
 
 
 @pytest.mark.parametrize("has_stalls", [False, True])
-def test_no_request_is_lost_at_any_moment_of_a_gateways_stop(tmp_path, has_stalls):
+def test_no_request_is_lost_during_gateway_shutdown(tmp_path, has_stalls):
     async def async_test():
         async with async_deploy(tmp_path) as deployment:
             deployment.start_engine(1)
