--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,8 +24,8 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    is_whole = config.args_source is config.ArgsSource.TESTPATHS
-    errors = find_errors(_KNOWN, {i.nodeid for i in items} if is_whole else None)
+    is_full_suite = config.args_source is config.ArgsSource.TESTPATHS
+    errors = find_errors(_KNOWN, {i.nodeid for i in items} if is_full_suite else None)
     if errors:
         raise pytest.UsageError(f"{LIST_PATH.name}: " + "; ".join(errors))
     known = {entry.name: entry.line for entry in _KNOWN}
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -23,7 +23,7 @@
 ENDPOINT_PORT = 8000
 GATEWAY_PORT = 7100
 DIRECTOR_PORT = 7200
-WAIT_S = 40.0
+DEFAULT_TIMEOUT_S = 40.0
 FAILURES = (aiohttp.ClientError, TimeoutError, ConnectionError)
 _SUBNETS = itertools.count()
 
@@ -64,7 +64,7 @@
     def is_running(self) -> bool:
         return self._popen.poll() is None
 
-    async def async_wait(self, timeout_s: float = WAIT_S) -> int:
+    async def async_wait(self, timeout_s: float = DEFAULT_TIMEOUT_S) -> int:
         async with asyncio.timeout(timeout_s):
             while self._popen.poll() is None:
                 await asyncio.sleep(0.02)
@@ -327,7 +327,7 @@
     async def async_until(
         self,
         async_condition: Callable[[], Awaitable[bool]],
-        timeout_s: float = WAIT_S,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> None:
         async with asyncio.timeout(timeout_s):
             while True:
--- a/tests/processes/entry_deployment.py
+++ b/tests/processes/entry_deployment.py
@@ -16,7 +16,7 @@
 
 from standins.prepared_config import make_config
 
-from .deployment import FAILURES, WAIT_S, Process
+from .deployment import DEFAULT_TIMEOUT_S, FAILURES, Process
 from .silence import SilencingProxy
 
 ROOT = Path(__file__).parent.parent.parent
@@ -136,7 +136,7 @@
         status, body = await self.async_get(url)
         return json.loads(body)["addresses"] if status == 200 else []
 
-    async def async_until(self, check, timeout_s: float = WAIT_S) -> None:
+    async def async_until(self, check, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
         async with asyncio.timeout(timeout_s):
             while not await check():
                 await asyncio.sleep(0.05)
--- a/tests/processes/silence.py
+++ b/tests/processes/silence.py
@@ -68,15 +68,19 @@
         self.connections += 1
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._async_pass(reader, target_writer, generation))
-                group.create_task(self._async_pass(target_reader, writer, generation))
+                group.create_task(
+                    self._async_forward_one_way(reader, target_writer, generation)
+                )
+                group.create_task(
+                    self._async_forward_one_way(target_reader, writer, generation)
+                )
         finally:
             if generation == self._generation:
                 self.connections -= 1
             target_writer.close()
             writer.close()
 
-    async def _async_pass(
+    async def _async_forward_one_way(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
--- a/tests/processes/test_departures.py
+++ b/tests/processes/test_departures.py
@@ -119,9 +119,11 @@
                         headers={"Authorization": f"Bearer {KEY}"},
                     ) as response:
                         answer = await response.json(content_type=None)
-                        is_whole = response.status == 200
-                        is_whole = is_whole and answer["choices"][0]["text"] == expected
-                        (done if is_whole else failures).append(answer)
+                        is_complete = response.status == 200
+                        is_complete = (
+                            is_complete and answer["choices"][0]["text"] == expected
+                        )
+                        (done if is_complete else failures).append(answer)
                 except aiohttp.ClientError as error:
                     failures.append(repr(error))
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,7 +11,7 @@
 from chutelink.connections import close_idle
 
 HEAD = b"POST /once/x HTTP/1.1\r\nHost: a.example\r\nContent-Length: 4\r\n\r\n"
-SOON_S = 2.0
+RESPONSE_TIMEOUT_S = 2.0
 
 
 class ServerHarness:
@@ -57,7 +57,7 @@
     async def async_test():
         async with async_server_harness() as harness:
             harness.close_idle()
-            async with asyncio.timeout(SOON_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 assert await harness.reader.read() == b""
 
     asyncio.run(async_test())
@@ -72,7 +72,7 @@
             harness.close_idle()
             harness.writer.write(b"dy")
             harness.may_answer.set()
-            async with asyncio.timeout(SOON_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 answer = await harness.reader.read()
             assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"done body")
 
@@ -89,7 +89,7 @@
             await asyncio.sleep(0.01)
             harness.close_idle()
             harness.may_answer.set()
-            async with asyncio.timeout(SOON_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 answer = await harness.reader.read()
             assert answer.endswith(b"done body")
 
@@ -109,7 +109,7 @@
             for _ in range(loop_iterations):
                 await asyncio.sleep(0)
             harness.close_idle()
-            async with asyncio.timeout(SOON_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 answer = await harness.reader.read()
             assert answer.endswith(b"done body")
 
