--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Fixed seeds, and the tests of KNOWN-RED.txt, which CI passes over and prints."""
+"""Deterministic Hypothesis settings, and handling of the known failures.
+
+Tests listed in KNOWN-RED.txt are marked as expected failures and printed.
+"""
 
 from __future__ import annotations
 
@@ -21,8 +24,8 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    is_whole = config.args_source is config.ArgsSource.TESTPATHS
-    errors = find_errors(_KNOWN, {i.nodeid for i in items} if is_whole else None)
+    is_full_suite = config.args_source is config.ArgsSource.TESTPATHS
+    errors = find_errors(_KNOWN, {i.nodeid for i in items} if is_full_suite else None)
     if errors:
         raise pytest.UsageError(f"{LIST_PATH.name}: " + "; ".join(errors))
     known = {entry.name: entry.line for entry in _KNOWN}
