--- a/bench/capacity_daemons.py
+++ b/bench/capacity_daemons.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from chutelink.ids import BootId, FencingNumber
-from chutelink.tables.endpoints import ArtifactState, EndpointReport, HeldArtifact
+from chutelink.tables.endpoints import ArtifactState, EndpointReport, ReportedArtifact
 
 from .capacity_plans import fleet_text
 from .deployment import (
@@ -36,7 +36,9 @@
 
 def _report_body() -> bytes:
     held = tuple(
-        HeldArtifact(f"m{n}", "1", ArtifactState.LOADED, (n,), 30000, FencingNumber(n))
+        ReportedArtifact(
+            f"m{n}", "1", ArtifactState.LOADED, (n,), 30000, FencingNumber(n)
+        )
         for n in range(3)
     )
     return msgspec.json.encode(EndpointReport(BootId("b" * 32), artifacts=held))
--- a/bench/capacity_plans.py
+++ b/bench/capacity_plans.py
@@ -9,7 +9,7 @@
 
 from chutelink.fleet import parse_fleet
 from chutelink.ids import FencingNumber
-from chutelink.systems.packing import pack_minimum
+from chutelink.systems.packing import pack_minimum_replicas
 from chutelink.systems.placement import PlacementInput, make_placement
 from chutelink.tables.ledger import Claim, ClaimState, LedgerRow
 
@@ -73,7 +73,7 @@
 
 def _ledger_rows(fleet) -> dict[str, LedgerRow]:
     rows = {}
-    for name, models in pack_minimum(fleet).assignment.items():
+    for name, models in pack_minimum_replicas(fleet).assignment.items():
         spec = fleet.endpoints[name]
         row = LedgerRow(name, spec.accelerators, spec.memory_mb)
         claims = tuple(
--- a/bench/holds.py
+++ b/bench/holds.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from chutelink.ids import EndpointId, Fingerprint
-from chutelink.quarantine.judge import EndingCount
 from chutelink.quarantine.model import Ending, Suspect, Verdict
+from chutelink.quarantine.policy import EndingCountPolicy
 from chutelink.quarantine.table import SuspectTable
 
 ENGINES = 9
@@ -44,13 +44,13 @@
 SEEDS = 40
 
 
-class EndingLimitPolicy(EndingCount):
+class EndingLimitPolicy(EndingCountPolicy):
     """The ending-count policy with a configurable threshold."""
 
     def __init__(self, endings: int) -> None:
         self._max_endings = endings
 
-    def is_guilty(self, suspect: Suspect) -> bool:
+    def should_hold(self, suspect: Suspect) -> bool:
         """Return whether the suspect's endings have reached the threshold."""
         return len(suspect.endings) >= self._max_endings
 
--- a/bench/pauses.py
+++ b/bench/pauses.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from chutelink.ids import EndpointId
-from chutelink.learning.reading import ReadingTable
+from chutelink.learning.prefill import PrefillTable
 
 ENGINE = EndpointId("engine")
 CHUNK_TOKENS = 2048
@@ -121,7 +121,7 @@
         self._held: list[Stream] = []
         self._prefilling: list[Stream] = []
         self._running: list[Stream] = []
-        self._table = ReadingTable() if has_prompt_spacing else None
+        self._table = PrefillTable() if has_prompt_spacing else None
         self._now_s = 0.0
         self.outcomes = {kind: Outcome() for kind in RequestKind}
 
@@ -139,7 +139,7 @@
     def _send(self, stream: Stream) -> bool:
         """Send a request if its prefill fits now or its deadline allows no wait."""
         if self._table is not None:
-            wait_s = self._table.room_in_s(
+            wait_s = self._table.prefill_delay_s(
                 ENGINE, stream.prefill_s, self._now_s, MAX_PAUSE_S
             )
             due_s = stream.arrived_s + OBJECTIVE_S[stream.kind]
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -10,7 +10,7 @@
 from chutelink.entry.config import EngineSpec, ModelSpec
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.endpoints import Endpoint, EndpointRecord, EndpointState
-from chutelink.entry.news import ModelUse
+from chutelink.entry.messages import ModelUsage
 from chutelink.ids import (
     AdapterName,
     DaemonId,
@@ -75,7 +75,7 @@
     )
     inventory = Inventory(record.id)
     copies = tuple(rng.sample(models, DISK_COPIES_PER_ENDPOINT))
-    inventory.take_report(EndpointReport(0, False, held, on_disk=copies), NOW_S)
+    inventory.apply_report(EndpointReport(0, False, held, on_disk=copies), NOW_S)
     return Site(Endpoint(record), inventory)
 
 
@@ -89,7 +89,7 @@
     demand = DemandTable()
     for message in range(MESSAGES):
         uses = [
-            ModelUse(
+            ModelUsage(
                 rng.choice(models[:BUSY_MODELS] if rng.random() < 0.8 else models),
                 AdapterName(rng.choice(("", "a1", "a2"))),
                 arrivals=1,
--- a/bench/quota_strategies.py
+++ b/bench/quota_strategies.py
@@ -10,11 +10,11 @@
 
 from chutelink.customers.buckets import QuotaBounds, ShareBucket
 from chutelink.customers.const import (
-    ASKED_PARTS,
-    LEND_PAUSE_S,
-    LENT_SHARE,
+    LOAN_REQUEST_FACTOR,
+    LOAN_RETRY_PAUSE_S,
     MAX_HOLDERS,
     MAX_LENDERS,
+    MAX_LENT_SHARE,
 )
 from chutelink.customers.model import Quota
 
@@ -94,7 +94,7 @@
         """Restart all daemons, as successors of processes that had run for long."""
         self.buckets = self._make_buckets(now_s)
         for bucket in self.buckets:
-            bucket.start_afresh(now_s)
+            bucket.add_start_allowance(now_s)
 
 
 class LentShares(FixedShares):
@@ -113,7 +113,7 @@
         if bucket.take(cost, now_s):
             return True
         lent = self._borrow(daemon, bucket.missing(cost, now_s), now_s)
-        if bucket.take_with(cost, lent, now_s):
+        if bucket.take_with_loan(cost, lent, now_s):
             return True
         bucket.refuse(cost, now_s)
         return False
@@ -123,14 +123,14 @@
             return 0.0
         others = [number for number in range(self._holder_count()) if number != daemon]
         lenders = self.rng.sample(others, min(MAX_LENDERS, len(others)))
-        amount = needed * min(1.0, ASKED_PARTS / len(lenders))
+        amount = needed * min(1.0, LOAN_REQUEST_FACTOR / len(lenders))
         lent = 0.0
         for lender in lenders:
             self.fleet.messages += 2
             if self.fleet.can_reach(daemon, lender):
-                lent += self.buckets[lender].lend(amount, LENT_SHARE, now_s)
+                lent += self.buckets[lender].lend(amount, MAX_LENT_SHARE, now_s)
         if lent < needed:
-            self._next_borrow_s[daemon] = now_s + LEND_PAUSE_S
+            self._next_borrow_s[daemon] = now_s + LOAN_RETRY_PAUSE_S
         return lent
 
 
--- a/bench/simulated_components.py
+++ b/bench/simulated_components.py
@@ -15,7 +15,7 @@
     ArtifactState,
     EndpointReport,
     EndpointTable,
-    HeldArtifact,
+    ReportedArtifact,
 )
 from chutelink.tables.ledger import ClaimState, LedgerRow
 from chutelink.tables.requests import RequestQueue, WaitingRequest
@@ -62,7 +62,7 @@
             ClaimState.UNLOADING: ArtifactState.DRAINING,
         }
         held = tuple(
-            HeldArtifact(
+            ReportedArtifact(
                 claim.artifact.name,
                 claim.artifact.version,
                 states[claim.state],
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -12,9 +12,9 @@
 from chutelink.fleet import Artifact, ArtifactKind, FleetSpec
 from chutelink.ids import FencingNumber
 from chutelink.systems.ledger import choose_accelerators
-from chutelink.systems.packing import pack_minimum
+from chutelink.systems.packing import pack_minimum_replicas
 from chutelink.systems.placement import PlacementInput, make_placement
-from chutelink.systems.routing import usable
+from chutelink.systems.routing import usable_endpoints
 from chutelink.tables.ledger import Claim, ClaimState
 from chutelink.tables.requests import WaitingRequest
 
@@ -117,7 +117,7 @@
         heapq.heappush(self._events, event)
 
     def _place_initially(self) -> None:
-        for name, models in pack_minimum(self._fleet).assignment.items():
+        for name, models in pack_minimum_replicas(self._fleet).assignment.items():
             for model in sorted(models):
                 self._claim(self._engines[name], model, ClaimState.LOADED)
 
@@ -201,7 +201,7 @@
         holders = gateway.table.holders(artifacts)
         while group := gateway.queue.group(artifacts):
             request = gateway.queueing.select(group, self._now_s)
-            candidates = usable(holders, request, self._now_s)
+            candidates = usable_endpoints(holders, request, self._now_s)
             row = gateway.routing.choose(candidates, request, self._now_s)
             if row is None:
                 return
--- a/chutelink/configuration.py
+++ b/chutelink/configuration.py
@@ -42,7 +42,7 @@
     fleet: FleetSpec
 
 
-class ConfigKeeper(Service):
+class ConfigManager(Service):
     """Puts committed versions into force; the version never decreases.
 
     Parameters
--- a/chutelink/core.py
+++ b/chutelink/core.py
@@ -24,7 +24,7 @@
 from .log import EventLog, setup_logging
 from .metrics import CONTENT_TYPE, Metrics
 from .settings import DaemonSection
-from .startup import EXIT_FAILED, EXIT_OK, StartupContext, prepare_start
+from .startup import EXIT_FAILED, EXIT_OK, StartupContext, prepare_startup
 
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
 MAX_CONNECTIONS_PER_HOST = 0
@@ -123,7 +123,7 @@
     def is_ready(self) -> bool:
         """Return whether this daemon is ready to serve."""
 
-    def take_settings(self, settings: msgspec.Struct) -> None:
+    def apply_settings(self, settings: msgspec.Struct) -> None:
         """Apply settings that were reloaded; by default none may change."""
 
     @property
@@ -217,7 +217,7 @@
     SystemExit
         With code 2 for invalid settings.
     """
-    return run_daemon(prepare_start(program, description, kind), make_application)
+    return run_daemon(prepare_startup(program, description, kind), make_application)
 
 
 def run_daemon(
@@ -234,7 +234,7 @@
 
     def reload(app: Application) -> None:
         try:
-            app.take_settings(start.reload_settings())
+            app.apply_settings(start.reload_settings())
         except SettingsError as error:
             app.events.error("settings_refused", error=error)
             return
--- a/chutelink/customers/gate.py
+++ b/chutelink/customers/access.py
@@ -9,10 +9,10 @@
 
 from ..gateway.refusals import over_quota, unauthorized, unavailable
 from ..ids import ConfigVersion
-from ..watching.followed import Knowledge
+from ..watching.table_state import TableFreshness
 from .keys import KeyIndex
 from .model import Customer
-from .quotas import UNLIMITED, QuotaDecision, QuotaKeeper, QuotaVerdict
+from .quotas import UNLIMITED, QuotaDecision, QuotaManager, QuotaVerdict
 
 STALE_CONFIG_RETRY_S = 0.5
 """Retry delay while the configuration is outdated; it usually is up to date by then."""
@@ -32,12 +32,12 @@
     config_age_s: float | None = None
 
 
-class CustomerGate:
+class CustomerAccess:
     """Identifies the customer of each request and counts it against the quota.
 
     Parameters
     ----------
-    quotas : QuotaKeeper
+    quotas : QuotaManager
         This daemon's shares of the quotas.
     knowledge : callable
         Returns how recent the configuration is, None if it was never read.
@@ -47,8 +47,8 @@
 
     def __init__(
         self,
-        quotas: QuotaKeeper,
-        knowledge: Callable[[], Knowledge | None],
+        quotas: QuotaManager,
+        knowledge: Callable[[], TableFreshness | None],
         max_config_age_s: float,
     ) -> None:
         self.quotas = quotas
@@ -101,11 +101,11 @@
         if admission.decision.verdict is QuotaVerdict.OVER:
             raise over_quota(admission.decision.back_in_s)
 
-    def give_back(self, admission: Admission) -> None:
+    def refund(self, admission: Admission) -> None:
         """Refund the cost of a request that has not run, at most once."""
         decision, admission.decision = admission.decision, UNLIMITED
         if decision.verdict in (QuotaVerdict.OWN, QuotaVerdict.LENT):
-            self.quotas.give_back(admission.customer, decision.cost)
+            self.quotas.refund(admission.customer, decision.cost)
 
     def charge_again(self, admission: Admission) -> None:
         """Charge a request that is sent again although it may have run."""
--- a/chutelink/customers/buckets.py
+++ b/chutelink/customers/buckets.py
@@ -111,7 +111,7 @@
         self.quota = quota
         self.level = min(self.level, self.capacity)
 
-    def start_afresh(self, now_s: float) -> None:
+    def add_start_allowance(self, now_s: float) -> None:
         """Add the start allowance, if no process started earlier in this window.
 
         Otherwise the first requests after a kill of all daemons are refused: the
@@ -134,9 +134,9 @@
 
     def take(self, cost: float, now_s: float) -> bool:
         """Deduct a request's cost; return whether the level was sufficient."""
-        return self.take_with(cost, 0.0, now_s)
+        return self.take_with_loan(cost, 0.0, now_s)
 
-    def take_with(self, cost: float, lent: float, now_s: float) -> bool:
+    def take_with_loan(self, cost: float, lent: float, now_s: float) -> bool:
         """Deduct a cost from level and loans; return whether they were sufficient.
 
         The rest of a loan is kept up to the capacity.
@@ -168,7 +168,7 @@
         self._refill(now_s)
         self.level -= cost
 
-    def give_back(self, cost: float, now_s: float) -> None:
+    def refund(self, cost: float, now_s: float) -> None:
         """Refund a cost that was not used."""
         self._refill(now_s)
         self.level = min(self.level + cost, self.capacity)
--- a/chutelink/customers/const.py
+++ b/chutelink/customers/const.py
@@ -55,7 +55,7 @@
 """Requests below this share of a large one never wait for the level of a large one."""
 LOAN_TIMEOUT_S: Final = 0.08
 """How long a request waits for loans: some round trips of 3 ms."""
-LEND_PAUSE_S: Final = 0.25
+LOAN_RETRY_PAUSE_S: Final = 0.25
 """How long no loans are requested after the lenders had too little.
 
 Without a pause, a customer that sends four times its limit would cause loan requests
@@ -63,9 +63,9 @@
 """
 MAX_LENDERS: Final = 8
 """Maximum number of daemons that are asked for a loan at once, for any fleet size."""
-ASKED_PARTS: Final = 2.0
+LOAN_REQUEST_FACTOR: Final = 2.0
 """Ratio of the amount requested from all lenders together to the missing amount."""
-LENT_SHARE: Final = 0.8
+MAX_LENT_SHARE: Final = 0.8
 """Maximum share of its own level that a daemon lends."""
 MAX_RETRY_AFTER_S: Final = 8.0
 """Maximum retry delay given to callers that are over a quota."""
--- a/chutelink/customers/quotas.py
+++ b/chutelink/customers/quotas.py
@@ -13,15 +13,15 @@
 from ..ids import CustomerName, DaemonId
 from .buckets import QuotaBounds, ShareBucket
 from .const import (
-    ASKED_PARTS,
-    LEND_PAUSE_S,
-    LENT_SHARE,
+    LOAN_REQUEST_FACTOR,
+    LOAN_RETRY_PAUSE_S,
     LOAN_TIMEOUT_S,
     MAX_LENDERS,
+    MAX_LENT_SHARE,
 )
 from .holders import HolderView
+from .messages import Loan, LoanRequest
 from .model import Customer
-from .news import Loan, LoanRequest
 
 
 class QuotaVerdict(Enum):
@@ -72,7 +72,7 @@
     lent_amount: float = 0.0
 
 
-class QuotaKeeper:
+class QuotaManager:
     """Manages one daemon's shares of all quotas.
 
     Parameters
@@ -101,7 +101,7 @@
         self.uses: dict[CustomerName, CustomerUse] = {}
         self.linked: Callable[[], set[DaemonId]] = set
         """Returns the daemons to which there is a link."""
-        self.send: Callable[[DaemonId, LoanRequest | Loan], None] = lambda to, news: (
+        self.send: Callable[[DaemonId, LoanRequest | Loan], None] = lambda to, loan: (
             None
         )
 
@@ -127,7 +127,7 @@
             if self._has_config:
                 bucket.fill()
             elif self._has_start_allowance:
-                bucket.start_afresh(now_s)
+                bucket.add_start_allowance(now_s)
         self._has_config = True
 
     def note_previous_start(self, began_ago_s: float | None) -> None:
@@ -137,9 +137,9 @@
         self._has_start_allowance = True
         now_s = self._core.clock()
         for bucket in self.buckets.values():
-            bucket.start_afresh(now_s)
+            bucket.add_start_allowance(now_s)
 
-    def take_view(self, view: HolderView) -> None:
+    def update_holder_view(self, view: HolderView) -> None:
         """Update which daemons share quotas."""
         if view == self._holder_view:
             return
@@ -164,12 +164,12 @@
             return self._record_decision(customer.name, bucket, cost, QuotaVerdict.LENT)
         return self._record_decision(customer.name, bucket, cost, QuotaVerdict.OVER)
 
-    def give_back(self, customer: Customer, cost: float) -> None:
+    def refund(self, customer: Customer, cost: float) -> None:
         """Refund the cost of a request that has not run."""
         bucket = self.buckets.get(customer.name)
         if bucket is None or not cost:
             return
-        bucket.give_back(cost, self._core.clock())
+        bucket.refund(cost, self._core.clock())
         use = self.uses[customer.name]
         use.admitted -= 1
         use.admitted_amount -= cost
@@ -219,12 +219,12 @@
         try:
             await self._async_request_loans(pending, lenders)
         except asyncio.CancelledError:
-            bucket.give_back(pending.lent, self._core.clock())
+            bucket.refund(pending.lent, self._core.clock())
             raise
         now_s = self._core.clock()
-        is_enough = bucket.take_with(cost, pending.lent, now_s)
+        is_enough = bucket.take_with_loan(cost, pending.lent, now_s)
         if not is_enough:
-            self._next_loan_request_s[name] = now_s + LEND_PAUSE_S
+            self._next_loan_request_s[name] = now_s + LOAN_RETRY_PAUSE_S
         return is_enough
 
     async def _async_request_loans(
@@ -234,7 +234,7 @@
         number = next(self._loan_numbers)
         self._pending_loans[number] = pending
         # Some lenders have less than an even part, so each is asked for more.
-        amount = pending.needed * min(1.0, ASKED_PARTS / len(lenders))
+        amount = pending.needed * min(1.0, LOAN_REQUEST_FACTOR / len(lenders))
         own = self._core.daemon_id
         request = LoanRequest(own, number, pending.customer, amount)
         for lender in lenders:
@@ -255,13 +255,13 @@
         lenders = sorted(others & self.linked())
         return self._core.rng.sample(lenders, min(MAX_LENDERS, len(lenders)))
 
-    def take_request(self, request: LoanRequest) -> None:
+    def handle_request(self, request: LoanRequest) -> None:
         """Answer a loan request with the amount that this daemon can spare."""
         bucket = self.buckets.get(request.customer)
         amount = 0.0
         if bucket is not None and self._is_lending:
             now_s = self._core.clock()
-            amount = bucket.lend(request.amount, LENT_SHARE, now_s)
+            amount = bucket.lend(request.amount, MAX_LENT_SHARE, now_s)
         if amount:
             use = self.uses.setdefault(request.customer, CustomerUse())
             use.lent_amount += amount
@@ -269,13 +269,13 @@
         loan = Loan(own, request.number, request.customer, amount)
         self.send(request.daemon, loan)
 
-    def take_loan(self, loan: Loan) -> None:
+    def handle_loan(self, loan: Loan) -> None:
         """Add a loan to its pending request; a late one refills the share instead."""
         pending = self._pending_loans.get(loan.number)
         if pending is None or pending.customer != loan.customer:
             bucket = self.buckets.get(loan.customer)
             if bucket is not None:
-                bucket.give_back(max(0.0, loan.amount), self._core.clock())
+                bucket.refund(max(0.0, loan.amount), self._core.clock())
             return
         pending.lent += max(0.0, loan.amount)
         pending.open_answers -= 1
--- a/chutelink/customers/sharing.py
+++ b/chutelink/customers/sharing.py
@@ -8,7 +8,7 @@
 from .buckets import QuotaBounds
 from .holders import QuotaHolders
 from .model import Customer
-from .quotas import QuotaKeeper
+from .quotas import QuotaManager
 
 
 class QuotaSharing:
@@ -29,20 +29,20 @@
     ) -> None:
         self._core = core
         self._holders = QuotaHolders(core.daemon_id, core.clock())
-        self.keeper = QuotaKeeper(core, bounds, is_lending=is_lending)
+        self.manager = QuotaManager(core, bounds, is_lending=is_lending)
 
-    def take_customers(self, customers: dict[CustomerName, Customer] | None) -> None:
+    def update_customers(self, customers: dict[CustomerName, Customer] | None) -> None:
         """Apply the customers of the configuration in force."""
-        self.keeper.sync(customers or {})
+        self.manager.sync(customers or {})
 
-    def take_former(self, expected: int, own_began_ago_s: float | None) -> None:
+    def set_former_fleet(self, expected: int, own_began_ago_s: float | None) -> None:
         """Set the expected number of serving daemons, and this VM's previous start.
 
         ``expected`` is the number that would serve if all that ever registered were
         alive; ``own_began_ago_s`` is how long ago this VM's previous process started.
         """
         self._holders.expected = expected
-        self.keeper.note_previous_start(own_began_ago_s)
+        self.manager.note_previous_start(own_began_ago_s)
         self._core.events.info(
             "former_fleet", serving=expected, began_ago_s=own_began_ago_s
         )
@@ -51,4 +51,4 @@
         """Update which daemons serve; called on changes and periodically."""
         now_s = self._core.clock()
         self._holders.update(serving, members, now_s)
-        self.keeper.take_view(self._holders.view(now_s))
+        self.manager.update_holder_view(self._holders.view(now_s))
--- a/chutelink/customers/web.py
+++ b/chutelink/customers/web.py
@@ -9,7 +9,7 @@
 
 from ..ids import CustomerName
 from .model import QuotaUnit
-from .quotas import CustomerUse, QuotaKeeper
+from .quotas import CustomerUse, QuotaManager
 
 PATH_CUSTOMERS = "/customers"
 
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    quotas : QuotaKeeper
+    quotas : QuotaManager
         Quotas that are listed.
     daemon : str
         Name of this daemon.
@@ -52,7 +52,7 @@
         Bearer key that authorizes operators.
     """
 
-    def __init__(self, quotas: QuotaKeeper, daemon: str, operator_key: str) -> None:
+    def __init__(self, quotas: QuotaManager, daemon: str, operator_key: str) -> None:
         self._quotas = quotas
         self._daemon = daemon
         self._expected_authorization = f"Bearer {operator_key}".encode()
--- a/chutelink/daemon.py
+++ b/chutelink/daemon.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from mode import Service
 
-from .configuration import ConfigKeeper
+from .configuration import ConfigManager
 from .const import PREFIX_DAEMON
 from .core import Application
 from .endpoints.client import EndpointClient
@@ -77,7 +77,7 @@
         self.members = MemberTable(self._make_member())
         self.platform: Platform | None = None
         self.mesh: Mesh | None = None
-        self.keeper: ConfigKeeper | None = None
+        self.config_manager: ConfigManager | None = None
         self.client: EndpointClient | None = None
         self.monitor: EndpointMonitor | None = None
         self._registration_task: asyncio.Task | None = None
@@ -102,7 +102,7 @@
         """Create the common services, then those of the role, and start them."""
         self.platform = async_setup_platform(self.session, self.settings.platform)
         self.mesh = Mesh(self, self.settings.peers, self.members)
-        self.keeper = ConfigKeeper(
+        self.config_manager = ConfigManager(
             self, self.platform, self.mesh, self.settings.platform.poll_interval_s
         )
         self.client = EndpointClient(self.session, self.settings.endpoints)
@@ -115,9 +115,9 @@
             self.is_watched,
         )
         self.monitor.on_vms = self._update_seeds
-        self.keeper.add_listener(self._on_config)
+        self.config_manager.add_listener(self._on_config)
         await self.async_setup_role()
-        for service in (self.mesh, self.keeper, self.monitor):
+        for service in (self.mesh, self.config_manager, self.monitor):
             await self.add_runtime_dependency(service)
         self._registration_task = asyncio.ensure_future(self._async_register())
 
@@ -129,7 +129,7 @@
         """Return whether this daemon polls an endpoint."""
         return True
 
-    def on_fleet(self) -> None:
+    def on_fleet_change(self) -> None:
         """Update the services of this role after a change of the fleet in force."""
 
     def fill_status(self, status: DaemonStatus) -> DaemonStatus:
@@ -142,7 +142,7 @@
 
     def is_ready(self) -> bool:
         """Return whether a configuration is in force."""
-        return self.keeper is not None and self.keeper.fleet is not None
+        return self.config_manager is not None and self.config_manager.fleet is not None
 
     async def on_stop(self) -> None:
         """Stop the registration and the endpoint client, which are not services."""
@@ -152,11 +152,11 @@
             await self.client.async_close()
 
     def _on_config(self) -> None:
-        if self.keeper.fleet is None:
+        if self.config_manager.fleet is None:
             return
-        self.endpoints.sync(self.keeper.fleet)
-        self.monitor.sync(frozenset(self.keeper.drains.names))
-        self.on_fleet()
+        self.endpoints.sync(self.config_manager.fleet)
+        self.monitor.sync(frozenset(self.config_manager.drains.names))
+        self.on_fleet_change()
 
     def _update_seeds(self, vms: list[Vm]) -> None:
         seeds = {f"{vm.address}:{port}" for vm in vms for port in vm.peer_ports}
@@ -194,8 +194,8 @@
             role=self.role,
             vm=self.daemon.vm,
             failure_domain=self.daemon.failure_domain,
-            version=self.keeper.version,
-            confirmed=self.keeper.is_confirmed,
+            version=self.config_manager.version,
+            confirmed=self.config_manager.is_confirmed,
             draining=self.is_draining,
             members=list(self.members.rows.values()),
             endpoints={n: r.state.value for n, r in self.endpoints.rows.items()},
--- a/chutelink/director/app.py
+++ b/chutelink/director/app.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..daemon import Daemon, DaemonStatus
-from ..endpoints.news import TOPIC_LOADED, EndpointLoaded, encode_loaded
+from ..endpoints.notifications import TOPIC_LOADED, EndpointLoaded, encode_loaded
 from ..ids import EndpointName, FailureDomainName
 from ..settings import DirectorSettings
 from ..tables.members import MemberState, Role
@@ -35,7 +35,7 @@
         )
         self.placer = Placer(
             self,
-            self.keeper,
+            self.config_manager,
             table,
             self.endpoints,
             self.monitor,
@@ -56,9 +56,9 @@
         spec = self.endpoints.rows[name].spec
         return spec.failure_domain in self._watched_domains
 
-    def on_fleet(self) -> None:
+    def on_fleet_change(self) -> None:
         """Contend for the leases of all failure domains in the current fleet."""
-        self.leases.sync(sorted(self.keeper.fleet.failure_domains))
+        self.leases.sync(sorted(self.config_manager.fleet.failure_domains))
 
     def _announce_loaded(self, name: EndpointName) -> None:
         """Tell gateways that an endpoint has loaded an artifact.
@@ -81,7 +81,7 @@
         if held == self._watched_domains:
             return
         self._watched_domains = held
-        self.monitor.sync(frozenset(self.keeper.drains.names))
+        self.monitor.sync(frozenset(self.config_manager.drains.names))
 
     def fill_status(self, status: DaemonStatus) -> DaemonStatus:
         """Add held leases, quarantined endpoints and unplaced models."""
--- a/chutelink/director/health.py
+++ b/chutelink/director/health.py
@@ -74,7 +74,7 @@
                 [Write(key, msgspec.to_builtins(health))],
             )
         except TransactionConflict:
-            self._state.forget_version()
+            self._state.reset_version()
             return
         self._state.put_health(domain, health, written)
 
--- a/chutelink/director/placer.py
+++ b/chutelink/director/placer.py
@@ -7,7 +7,7 @@
 
 from mode import Service
 
-from ..configuration import ConfigKeeper, Configuration
+from ..configuration import ConfigManager, Configuration
 from ..const import PREFIX_STATE
 from ..core import Application
 from ..endpoints.monitor import EndpointMonitor
@@ -47,7 +47,7 @@
     ----------
     core : Application
         The application that owns the placer.
-    keeper : ConfigKeeper
+    config_manager : ConfigManager
         Provides the configuration in force.
     table : TableService
         Table that stores ledger and health rows.
@@ -70,7 +70,7 @@
     def __init__(
         self,
         core: Application,
-        keeper: ConfigKeeper,
+        config_manager: ConfigManager,
         table: TableService,
         endpoints: EndpointTable,
         monitor: EndpointMonitor,
@@ -82,7 +82,7 @@
     ) -> None:
         super().__init__()
         self._core = core
-        self._keeper = keeper
+        self._config_manager = config_manager
         self._table = table
         self._endpoints = endpoints
         self._monitor = monitor
@@ -117,7 +117,7 @@
     async def _async_tick(self) -> None:
         # The whole tick uses one configuration, although another one may come
         # into force while a read is in progress.
-        current = self._keeper.current
+        current = self._config_manager.current
         held = self._settled_domains()
         if current is None or not held:
             return
@@ -318,7 +318,7 @@
 
     def _request_reread(self) -> None:
         """Make the next tick read all rows again."""
-        self.state_table.forget_version()
+        self.state_table.reset_version()
 
     async def async_wait_for_tasks(self) -> None:
         """Wait for the actions in progress."""
--- a/chutelink/endpoints/client.py
+++ b/chutelink/endpoints/client.py
@@ -31,7 +31,7 @@
 _TRANSPORT_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, ConnectionError)
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
+class EndpointResponse(msgspec.Struct, frozen=True):
     """A complete response of an endpoint."""
 
     status: int
@@ -44,7 +44,7 @@
         return self.headers.get("Content-Type", "application/octet-stream")
 
 
-class Call(msgspec.Struct, frozen=True):
+class EndpointRequest(msgspec.Struct, frozen=True):
     """A request to an endpoint.
 
     ``timeout_s`` limits the time without received data, and in `async_exchange` also
@@ -94,7 +94,7 @@
 
     @asynccontextmanager
     async def async_open(
-        self, spec: EndpointSpec, call: Call
+        self, spec: EndpointSpec, request: EndpointRequest
     ) -> AsyncIterator[aiohttp.ClientResponse]:
         """Send a request and check that the response belongs to it.
 
@@ -107,30 +107,30 @@
         EndpointFailed
             The request may have been run.
         """
-        response = await self._async_send(spec, call)
+        response = await self._async_send(spec, request)
         try:
-            _check_response(response, call.headers[HEADER_REQUEST_ID], spec)
+            _check_response(response, request.headers[HEADER_REQUEST_ID], spec)
             yield response
         finally:
             # The connection returns to the pool only if the body was fully read.
             response.close()
 
     async def _async_send(
-        self, spec: EndpointSpec, call: Call
+        self, spec: EndpointSpec, request: EndpointRequest
     ) -> aiohttp.ClientResponse:
         """Send a request and return the response once its headers have arrived."""
-        session = self._session if call.is_repeatable else self._unpooled_session
+        session = self._session if request.is_repeatable else self._unpooled_session
         step = "endpoint.send"
         try:
             return await session.request(
-                call.method,
-                spec.url + call.path,
-                headers=call.headers,
-                data=call.body,
+                request.method,
+                spec.url + request.path,
+                headers=request.headers,
+                data=request.body,
                 timeout=aiohttp.ClientTimeout(
                     total=None,
                     sock_connect=self._settings.connect_timeout_s,
-                    sock_read=call.timeout_s,
+                    sock_read=request.timeout_s,
                 ),
                 allow_redirects=False,
             )
@@ -139,7 +139,9 @@
         except _TRANSPORT_ERRORS as error:
             raise _make_error(error, step, spec) from error
 
-    async def async_exchange(self, spec: EndpointSpec, call: Call) -> WholeAnswer:
+    async def async_exchange(
+        self, spec: EndpointSpec, request: EndpointRequest
+    ) -> EndpointResponse:
         """Send a request and return the complete response.
 
         Raises
@@ -147,12 +149,12 @@
         EndpointUnreachable, EndpointRefused, EndpointFailed
             As in `async_open`.
         """
-        async with self.async_open(spec, call) as response:
+        async with self.async_open(spec, request) as response:
             try:
-                content = await asyncio.wait_for(response.read(), call.timeout_s)
+                content = await asyncio.wait_for(response.read(), request.timeout_s)
             except _TRANSPORT_ERRORS as error:
                 raise _make_error(error, "endpoint.read", spec) from error
-            return WholeAnswer(response.status, response.headers, content)
+            return EndpointResponse(response.status, response.headers, content)
 
     async def async_report(self, spec: EndpointSpec) -> tuple[EndpointReport, int]:
         """Return an engine's report and the number of bytes transferred for it."""
--- a/chutelink/entry/adapter.py
+++ b/chutelink/entry/adapter.py
@@ -11,12 +11,12 @@
 
 from ..placing.inventory import EngineClient
 from ..settings import PlatformSection
-from ..store import WatchedTable
+from ..store import WatchableTable
 from ..store.http import ReadRetry
 from .config import RoutingConfig
-from .dialect import Dialect
 from .directory import Directory
 from .endpoints import EndpointRecord
+from .headers import HeaderCodec
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -30,7 +30,7 @@
         session: aiohttp.ClientSession,
         settings: PlatformSection,
         on_retry: Callable[[ReadRetry], None],
-    ) -> WatchedTable:
+    ) -> WatchableTable:
         """Return the table service client, which sends an unanswered read again."""
 
     @abstractmethod
@@ -38,7 +38,7 @@
         """Return the client for the reports and orders of endpoints."""
 
     @abstractmethod
-    def make_dialect(self) -> Dialect:
+    def make_header_codec(self) -> HeaderCodec:
         """Return the codec for the headers of callers and endpoints."""
 
     @abstractmethod
--- a/chutelink/entry/app.py
+++ b/chutelink/entry/app.py
@@ -15,28 +15,28 @@
 from ..customers.buckets import QuotaBounds
 from ..customers.sharing import QuotaSharing
 from ..customers.web import CustomerHandlers
-from ..limits.permits import PermitDesk
+from ..limits.permits import PermitManager
 from ..peers.mesh import Mesh
 from ..placing.lease import PlacerLease
 from ..placing.placement import DemandPlacement
 from ..placing.placer import Placer
-from ..quarantine.keeper import PREFIX_HOLDS, QuarantineKeeper
+from ..quarantine.persistence import PREFIX_HOLDS, QuarantinePersistence
 from ..quarantine.service import Quarantine
 from ..quarantine.web import QuarantineHandlers
-from ..relaying.retries import RetryShare
+from ..relaying.retry_budget import RetryBudgetShare
 from ..relaying.upstream import Upstream
 from ..settings import EntrySettings
 from ..tables.members import MemberState, MemberTable
-from ..watching.followed import RowChange
-from ..watching.timing import fit_time_limit
+from ..watching.table_state import RowChange
+from ..watching.timing import cap_timeout
 from ..watching.watch import StoreWatch
 from .adapter import Handler, PlatformAdapter
 from .caller_server import make_caller_server
 from .demand import DemandTable
 from .directory import Directory, count_candidates
-from .http import CallerHttp
+from .http import CallerServer
 from .listeners import ACCEPT_QUEUE
-from .loads import LoadBook
+from .load_tracker import LoadTracker
 from .membership import PreviousFleet, Registration, make_member, port_of
 from .message_router import MessageRouter
 from .pending import PendingTable
@@ -104,23 +104,23 @@
         self.known = EntryState(self, adapter, self.quarantine, lapse_s)
         self.demand = DemandTable()
         self.pending = PendingTable()
-        self.loads = LoadBook()
+        self.loads = LoadTracker()
         entry = settings.entry
-        self.retries = RetryShare(
+        self.retry_budget = RetryBudgetShare(
             entry.retry_ratio, entry.retry_slack, entry.retry_window_s
         )
         self.directory = Directory(self.members, entry.address_valid_s)
         bounds = QuotaBounds(
             entry.quota_window_s, entry.quota_excess_share, entry.quota_slack
         )
-        self.permits = PermitDesk(self)
+        self.permits = PermitManager(self)
         self.quotas = QuotaSharing(self, bounds, is_lending=entry.quota_lending)
         self.mesh: Mesh | None = None
         self.watch: StoreWatch | None = None
-        self.keeper: QuarantineKeeper | None = None
+        self.quarantine_persistence: QuarantinePersistence | None = None
         self.lease: PlacerLease | None = None
         self.placer: Placer | None = None
-        self.callers: CallerHttp | None = None
+        self.callers: CallerServer | None = None
         self.router: MessageRouter | None = None
         self._upstream: Upstream | None = None
         self._caller_server: web.Server | None = None
@@ -132,7 +132,7 @@
         bound_s = min(entry.config_apply_ms, entry.drain_ms) / MS_PER_S
         table = self._adapter.make_table(
             self.session,
-            fit_time_limit(self, self.settings.platform, bound_s),
+            cap_timeout(self, self.settings.platform, bound_s),
             lambda retry: self.events.record(
                 "store_read_retried", **msgspec.structs.asdict(retry)
             ),
@@ -146,13 +146,13 @@
             self.known,
             self.demand,
             self.pending,
-            self.retries,
+            self.retry_budget,
             self.quarantine,
-            self.quotas.keeper,
+            self.quotas.manager,
         )
         self.quarantine.send = self.router.send
-        self.quotas.keeper.send = self.router.reply
-        self.quotas.keeper.linked = self.mesh.linked_members
+        self.quotas.manager.send = self.router.reply
+        self.quotas.manager.linked = self.mesh.linked_members
         self._setup_permits()
         self.mesh.on_broadcast = self.router.handle_broadcast
         self.mesh.on_direct = self.router.handle_direct
@@ -166,8 +166,10 @@
         self.watch = StoreWatch(
             self, table, bounds_s, self.rank, self.router.send, outage_s
         )
-        self.watch.alone_until_s = self.mesh.alone_until_s
-        self.keeper = QuarantineKeeper(self, table, self.quarantine, self.rank)
+        self.watch.isolated_until_s = self.mesh.isolated_until_s
+        self.quarantine_persistence = QuarantinePersistence(
+            self, table, self.quarantine, self.rank
+        )
         self.watch.on_row = self._apply_row
         self.watch.on_restored = self._handle_restored
         self.watch.reply = self.router.reply
@@ -176,7 +178,7 @@
         self.lease = PlacerLease(self, table, self.rank, gap_s, self.router.send)
         self._setup_placer()
         self.callers = make_caller_server(
-            self, self._adapter.make_dialect(), self._upstream
+            self, self._adapter.make_header_codec(), self._upstream
         )
         self.router.watch = self.watch
         self.router.lease = self.lease
@@ -186,7 +188,7 @@
         for part in (
             self.mesh,
             self.watch,
-            self.keeper,
+            self.quarantine_persistence,
             self.lease,
             self.placer,
         ):
@@ -223,8 +225,8 @@
             DemandPlacement(),
             self.router.send,
         )
-        self.placer.paces.window_s = self.settings.entry.cold_load_window_s
-        self.placer.paces.excess = self.settings.entry.cold_load_excess
+        self.placer.cold_load_limiters.window_s = self.settings.entry.cold_load_window_s
+        self.placer.cold_load_limiters.excess = self.settings.entry.cold_load_excess
 
     async def _async_listen(self) -> None:
         """Listen for operators, callers, address lookups and readiness checks."""
@@ -266,7 +268,7 @@
         """Add the HTTP routes for operators."""
         key = self.settings.platform.key
         QuarantineHandlers(self.quarantine, key).add_routes(app)
-        CustomerHandlers(self.quotas.keeper, self.daemon_id, key).add_routes(app)
+        CustomerHandlers(self.quotas.manager, self.daemon_id, key).add_routes(app)
 
     def is_ready(self) -> bool:
         """Return whether the routes and endpoints are known.
@@ -300,31 +302,31 @@
 
     def _apply_row(self, change: RowChange) -> None:
         if change.key.startswith(PREFIX_HOLDS):
-            self.keeper.take_row(
+            self.quarantine_persistence.apply_row(
                 change.key, change.value, is_restored=change.is_restored
             )
             return
-        self.known.take_row(change)
+        self.known.apply_row(change)
 
     def _handle_restored(self, table: str, keys: set[str]) -> None:
         if table == TABLE_QUARANTINE:
-            self.keeper.note_restored(keys)
+            self.quarantine_persistence.note_restored(keys)
 
     def _apply_config(self) -> None:
         config = self.known.routes.config
         self.placer.config = config
         self.quotas.update(self.router.serving, self.members)
-        self.quotas.take_customers(config.customers)
+        self.quotas.update_customers(config.customers)
 
     def _apply_previous_fleet(self, previous: PreviousFleet) -> None:
         serving = count_candidates(previous.capacities)
-        self.quotas.take_former(serving, previous.own_began_ago_s)
+        self.quotas.set_former_fleet(serving, previous.own_began_ago_s)
 
     def _handle_endpoints_changed(self) -> None:
         self.pending.signal()
         self.placer.wake()
 
-    def take_settings(self, settings: EntrySettings) -> None:
+    def apply_settings(self, settings: EntrySettings) -> None:
         """Apply reloaded settings; listen addresses can't change while running."""
         self.settings = settings
 
@@ -359,7 +361,7 @@
         """Drain: leave the directory, then refuse connections, then finish requests."""
         grace_end_s = self.drain_requested_s + self.settings.entry.grace_s
         grace_end_s -= SHUTDOWN_MARGIN_S
-        self.callers.end_by(grace_end_s)
+        self.callers.set_shutdown_deadline(grace_end_s)
         self.mesh.announce_leaving()
         await self.lease.async_release()
         cache_s = CACHED_ADDRESS_FACTOR * self.settings.entry.address_valid_s
--- a/chutelink/entry/caller_server.py
+++ b/chutelink/entry/caller_server.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING
 
 from ..const import TABLE_CONFIG, TABLE_ENDPOINTS
-from ..customers.gate import CustomerGate
-from ..relaying.dispatching import Exchanges
+from ..customers.access import CustomerAccess
+from ..relaying.exchange_dispatcher import ExchangeDispatcher
 from ..relaying.relay import Relay
 from ..relaying.routing import LeastLoss
 from ..relaying.stream import StreamRelay
 from ..relaying.upstream import Upstream
-from .dialect import Dialect
-from .http import CallerHttp
+from .headers import HeaderCodec
+from .http import CallerServer
 
 if TYPE_CHECKING:
     from .app import EntryApp
@@ -21,23 +21,21 @@
 
 
 def make_caller_server(
-    app: EntryApp, dialect: Dialect, upstream: Upstream
-) -> CallerHttp:
+    app: EntryApp, header_codec: HeaderCodec, upstream: Upstream
+) -> CallerServer:
     """Return the server for callers, with relays that use the application's tables."""
-    exchanges = _make_exchanges(app, dialect)
-    customers = CustomerGate(
-        app.quotas.keeper,
+    dispatcher = _make_exchanges(app, header_codec)
+    customers = CustomerAccess(
+        app.quotas.manager,
         lambda: app.watch.knowledge(TABLE_CONFIG),
         app.settings.entry.config_apply_ms / MS_PER_S,
     )
-    exchanges.on_second_run = lambda exchange: customers.charge_again(
-        exchange.admission
-    )
-    relay = Relay(exchanges, upstream)
-    streams = StreamRelay(app, exchanges, upstream, relay)
-    return CallerHttp(
+    dispatcher.on_rerun = lambda exchange: customers.charge_again(exchange.admission)
+    relay = Relay(dispatcher, upstream)
+    streams = StreamRelay(app, dispatcher, upstream, relay)
+    return CallerServer(
         app,
-        exchanges,
+        dispatcher,
         relay,
         streams,
         customers,
@@ -46,24 +44,24 @@
     )
 
 
-def _make_exchanges(app: EntryApp, dialect: Dialect) -> Exchanges:
+def _make_exchanges(app: EntryApp, header_codec: HeaderCodec) -> ExchangeDispatcher:
     known = app.known
-    exchanges = Exchanges(
+    dispatcher = ExchangeDispatcher(
         app,
-        dialect,
+        header_codec,
         known.endpoints,
         known.health,
         known.prefixes,
         known.speeds,
         known.durations,
-        known.reading,
+        known.prefill_table,
         app.pending,
         app.loads,
-        app.retries,
+        app.retry_budget,
         LeastLoss(known.health, known.prefixes, known.speeds, known.durations),
         app.quarantine,
         app.permits,
     )
-    exchanges.on_prompt = app.router.send
-    exchanges.knowledge = lambda: app.watch.knowledge(TABLE_ENDPOINTS)
-    return exchanges
+    dispatcher.on_prompt = app.router.send
+    dispatcher.knowledge = lambda: app.watch.knowledge(TABLE_ENDPOINTS)
+    return dispatcher
--- a/chutelink/entry/demand.py
+++ b/chutelink/entry/demand.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from ..ids import AdapterName, DaemonId, ModelName
-from .news import ModelUse
+from .messages import ModelUsage
 
 AVERAGING_S = 3.0
 """Time constant of the moving averages; demand shifts within about 5 s."""
 ASKS_DECAY_S = 8.0
 """Decay time constant of the request count that earns a rare model a cold load."""
-CLAIM_VALID_S = 20.0
+UNSERVED_VALID_S = 20.0
 """How long a model keeps its place in the load order without new requests.
 
 This is the longest time that callers wait for a response: a caller that was told to
@@ -40,7 +40,7 @@
 
     def note_outcome(self, *, is_served: bool, is_waiting: bool, now_s: float) -> None:
         """Update ``denied_since_s``, given whether requests were served or wait."""
-        if is_served or now_s - self.last_arrival_s > CLAIM_VALID_S:
+        if is_served or now_s - self.last_arrival_s > UNSERVED_VALID_S:
             self.denied_since_s = None
         if is_waiting and self.denied_since_s is None:
             self.denied_since_s = now_s
@@ -80,7 +80,7 @@
             tuple[ModelName, AdapterName], dict[DaemonId, _WaitingRequests]
         ] = {}
 
-    def take(self, daemon: DaemonId, uses: list[ModelUse], now_s: float) -> None:
+    def take(self, daemon: DaemonId, uses: list[ModelUsage], now_s: float) -> None:
         """Apply the usage reported by one daemon."""
         for usage in uses:
             key = (usage.model, usage.adapter)
@@ -117,7 +117,7 @@
                 total += average.asks
         return total
 
-    def has_patient(self, model: ModelName, now_s: float) -> bool:
+    def can_wait_for_cold_load(self, model: ModelName, now_s: float) -> bool:
         """Return whether a waiting request has enough time left for a cold load."""
         return any(
             waiting.patient and now_s - waiting.heard_s < WAITING_VALID_S
@@ -137,7 +137,7 @@
             key: now_s - average.denied_since_s
             for key, average in self.uses.items()
             if average.denied_since_s is not None
-            and now_s - average.last_arrival_s < CLAIM_VALID_S
+            and now_s - average.last_arrival_s < UNSERVED_VALID_S
         }
 
     def adapter_arrival_s(self, model: ModelName, adapter: AdapterName) -> float:
--- a/chutelink/entry/endpoints.py
+++ b/chutelink/entry/endpoints.py
@@ -20,11 +20,11 @@
     incarnation_of,
     model_ref,
 )
-from ..learning.otherloads import OtherLoads
-from ..learning.processes import ProcessMemory
+from ..learning.endpoint_processes import EndpointProcessCache
+from ..learning.peer_loads import PeerLoads
+from ..limits.messages import EndpointLimit
 from ..limits.model import LimitState
-from ..limits.news import EndpointLimit
-from .news import EndpointLoad
+from .messages import EndpointLoad
 
 NO_ADAPTER = AdapterName("")
 UNKNOWN_SEQUENCE = -1
@@ -123,7 +123,7 @@
         """Return whether it has asked this daemon to pause requests."""
         return now_s < self.paused_until_s
 
-    def open_from_s(self, now_s: float) -> float | None:
+    def accepts_from_s(self, now_s: float) -> float | None:
         """Return when it accepts requests again, None if it is unrestricted."""
         if self.limit.is_limited:
             return max(self.limit.next_send_s, self.paused_until_s)
@@ -156,7 +156,7 @@
             return False
         return not adapter or adapter in adapters
 
-    def take_models(
+    def update_models(
         self,
         sequence: int,
         models: dict[ModelName, frozenset[AdapterName]],
@@ -185,9 +185,9 @@
 
     def __init__(self) -> None:
         self.rows: dict[EndpointId, Endpoint] = {}
-        self._others = OtherLoads()
-        self._leaving = ProcessMemory()
-        self._removed = ProcessMemory()
+        self._others = PeerLoads()
+        self._leaving = EndpointProcessCache()
+        self._removed = EndpointProcessCache()
         self.last_placer_message_s = float("-inf")
         self.on_restarted: Callable[[EndpointRecord, EndpointRecord], None] = (
             lambda before, record: None
@@ -242,7 +242,7 @@
             row.is_leaving = True
             self._leaving.note(row.record.id, row.record.born_ms)
 
-    def take_models(
+    def update_models(
         self,
         endpoint: EndpointId,
         born_ms: int,
@@ -259,7 +259,7 @@
         if born_ms > row.record.born_ms:
             record = msgspec.structs.replace(row.record, born_ms=born_ms, models={})
             row = self._restart(row, record)
-        row.take_models(sequence, models)
+        row.update_models(sequence, models)
 
     def note_leaving(self, endpoint: EndpointId, born_ms: int) -> bool:
         """Record that a process is shutting down; return whether that is new.
@@ -275,7 +275,7 @@
         self.on_leaving(row.record)
         return True
 
-    def take_limit(self, limit: EndpointLimit, now_s: float) -> None:
+    def update_limit(self, limit: EndpointLimit, now_s: float) -> None:
         """Apply the limit of an endpoint that another daemon has received."""
         row = self.rows.get(limit.endpoint)
         if row is None or limit.born_ms != row.record.born_ms:
@@ -335,7 +335,7 @@
         self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float
     ) -> None:
         """Replace the load of another daemon."""
-        self._others.take(daemon, loads, now_s)
+        self._others.set_loads(daemon, loads, now_s)
         self._sum_others()
 
     def forget_silent(self, now_s: float) -> None:
@@ -343,9 +343,9 @@
         if self._others.forget_silent(now_s):
             self._sum_others()
 
-    def take_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
+    def add_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
         """Add a request that another daemon sent since its last load report."""
-        self._others.take_sent(daemon, load)
+        self._others.add_sent(daemon, load)
         self._add_other(load)
 
     def _sum_others(self) -> None:
--- a/chutelink/entry/dialect.py
+++ b/chutelink/entry/headers.py
@@ -78,7 +78,7 @@
     unreadable: tuple[str, ...] = ()
 
 
-class Dialect(ABC):
+class HeaderCodec(ABC):
     """Reads and writes the headers of one family of callers and endpoints."""
 
     @abstractmethod
--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -8,18 +8,18 @@
 from aiohttp import web
 
 from ..core import Application
-from ..customers.gate import Admission, CustomerGate
+from ..customers.access import Admission, CustomerAccess
 from ..gateway.refusals import Outcome, Refusal, unavailable
 from ..quarantine.fingerprint import RequestContent
 from ..relaying.caller_stream import CallerStream
-from ..relaying.dispatching import DEFAULT_RETRY_S, Exchanges
 from ..relaying.exchange import Exchange, pick_service
+from ..relaying.exchange_dispatcher import DEFAULT_RETRY_DELAY_S, ExchangeDispatcher
 from ..relaying.relay import Relay
-from ..relaying.requestlog import RequestLog, RequestResult
+from ..relaying.request_log import RequestLog, RequestResult
 from ..relaying.stream import StreamRelay
-from ..relaying.upstream import WholeResponse, forwarded_headers
+from ..relaying.upstream import BufferedResponse, forwarded_headers
 from .config import CallerLimits, Route, RouteTable, ServiceSpec
-from .dialect import RequestMeta
+from .headers import RequestMeta
 from .shutdown import OTHER_DAEMON_RETRY_S, can_finish
 
 HTTP_BAD_REQUEST = 400
@@ -39,18 +39,18 @@
 """Deadline of requests that state none, capped by the timeout of the route."""
 
 
-class CallerHttp:
+class CallerServer:
     """Handles callers' requests.
 
     Parameters
     ----------
     core : Application
         The owner.
-    exchanges : Exchanges
+    dispatcher : ExchangeDispatcher
         Shared tables and policies of the relays.
     relay, streams
         Relays for complete responses and for streams.
-    customers : CustomerGate
+    customers : CustomerAccess
         Checks keys and quotas.
     routes : callable
         Returns the active routes, or None.
@@ -61,15 +61,15 @@
     def __init__(
         self,
         core: Application,
-        exchanges: Exchanges,
+        dispatcher: ExchangeDispatcher,
         relay: Relay,
         streams: StreamRelay,
-        customers: CustomerGate,
+        customers: CustomerAccess,
         routes: Callable[[], RouteTable | None],
         is_ready: Callable[[], bool],
     ) -> None:
         self._core = core
-        self._exchanges = exchanges
+        self._dispatcher = dispatcher
         self._relay = relay
         self._streams = streams
         self._customers = customers
@@ -80,13 +80,13 @@
         self._shutdown_deadline_s: float | None = None
         self.in_flight = 0
 
-    def end_by(self, ends_s: float) -> None:
+    def set_shutdown_deadline(self, ends_s: float) -> None:
         """Accept only requests that can finish by then, as this daemon shuts down."""
         self._shutdown_deadline_s = ends_s
 
     def stop_waiting(self) -> None:
         """Refuse the requests that have not been sent to an endpoint yet."""
-        self._exchanges.stop_waiting()
+        self._dispatcher.stop_waiting()
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Handle one request, including invalid ones."""
@@ -99,7 +99,7 @@
         reason = ""
         try:
             exchange = await self._async_accept(request, admission, started_s)
-            await self._exchanges.gate.async_admit(exchange)
+            await self._dispatcher.gate.async_admit(exchange)
             response = await self._async_relay(request, exchange)
             status, outcome = response.status, "answered"
         except Refusal as refusal:
@@ -117,7 +117,7 @@
             result = RequestResult(status, outcome, reason)
             self._log.note(request, exchange, admission, result, started_s)
             if _has_not_run(exchange, outcome):
-                self._customers.give_back(admission)
+                self._customers.refund(admission)
         return response
 
     async def _async_accept(
@@ -138,7 +138,7 @@
             raise unavailable("no configuration yet", NO_CONFIG_RETRY_S)
         limits = table.config.limits
         self._check_size(request, limits)
-        meta = self._exchanges.dialect.decode_request(request.headers)
+        meta = self._dispatcher.header_codec.decode_request(request.headers)
         if meta is None:
             raise Refusal(HTTP_BAD_REQUEST, "request id missing")
         target = request.raw_path
@@ -154,7 +154,7 @@
         )
         service = pick_service(route, table.config.services, self._core.rng)
         if service is None:
-            raise unavailable("no service for the route", DEFAULT_RETRY_S)
+            raise unavailable("no service for the route", DEFAULT_RETRY_DELAY_S)
         self._check_shutdown(route, meta)
         await self._customers.async_admit(admission, meta.counted_tokens)
         body = await self._async_body(request, limits)
@@ -162,7 +162,7 @@
             request, admission, meta, route, service, target, body, started_s
         )
         self._check_shutdown(route, meta)
-        self._exchanges.note_arrival(exchange)
+        self._dispatcher.note_arrival(exchange)
         return exchange
 
     def _make_exchange(
@@ -177,7 +177,7 @@
         started_s: float,
     ) -> Exchange:
         headers = forwarded_headers(request.headers)
-        self._exchanges.dialect.remove_reserved(headers)
+        self._dispatcher.header_codec.remove_reserved(headers)
         host = request.headers.get("Host", "")
         content = RequestContent(request.method, host, target, body)
         return Exchange(
@@ -191,8 +191,8 @@
             body=body,
             started_s=started_s,
             deadline_s=started_s + _time_limit_s(route, meta.deadline_s),
-            candidate=self._exchanges.make_candidate(meta, route),
-            fingerprint=self._exchanges.quarantine.fingerprint(content),
+            candidate=self._dispatcher.make_routing_request(meta, route),
+            fingerprint=self._dispatcher.quarantine.fingerprint(content),
             caller=request.remote or "",
             admission=admission,
         )
@@ -208,7 +208,7 @@
         if self._shutdown_deadline_s is None:
             return
         left_s = self._shutdown_deadline_s - self._core.clock()
-        stream_s = self._exchanges.durations.mean_s(meta.model)
+        stream_s = self._dispatcher.durations.mean_s(meta.model)
         if not can_finish(route, left_s, stream_s):
             raise unavailable("this daemon is stopping", OTHER_DAEMON_RETRY_S)
 
@@ -264,14 +264,14 @@
         self, request: web.BaseRequest, exchange: Exchange
     ) -> web.StreamResponse:
         if not exchange.route.is_stream:
-            return self._respond(await self._relay.async_whole(exchange))
+            return self._respond(await self._relay.async_relay_buffered(exchange))
         caller = CallerStream(request, self._core)
         result = await self._streams.async_relay(exchange, caller)
-        if isinstance(result, WholeResponse):
+        if isinstance(result, BufferedResponse):
             return self._respond(result)
         return result
 
-    def _respond(self, answer: WholeResponse) -> web.Response:
+    def _respond(self, answer: BufferedResponse) -> web.Response:
         response = web.Response(
             status=answer.status,
             body=answer.body,
@@ -282,7 +282,7 @@
         return response
 
     def _refuse(self, refusal: Refusal) -> web.Response:
-        response = refusal.to_response(has_fractions=True)
+        response = refusal.to_response(allow_fractional_retry_after=True)
         if self._core.is_draining:
             response.force_close()
         return response
--- a/chutelink/entry/loads.py
+++ b/chutelink/entry/load_tracker.py
@@ -7,9 +7,9 @@
 from collections import Counter, defaultdict
 
 from ..ids import AdapterName, DaemonId, EndpointId, ModelName
-from ..limits.news import EndpointLimit
+from ..limits.messages import EndpointLimit
 from .endpoints import EndpointTable
-from .news import EndpointLoad, LeavingEndpoint, LoadReport, ModelUse, StreamCount
+from .messages import EndpointLoad, LeavingEndpoint, LoadReport, ModelUsage, StreamCount
 
 RETURN_DELAY_MARGIN_S = 0.3
 """How much later than requested callers retry, due to connecting and sending."""
@@ -17,7 +17,7 @@
 """Maximum number of prompts in one message."""
 
 
-class LoadBook:
+class LoadTracker:
     """Collects arrivals, waiting requests and sent prompts between two reports."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
         self._patient[model] += is_patient
         self.urgent.set()
 
-    def keep_wait(
+    def extend_wait(
         self, model: ModelName, adapter: AdapterName, back_in_s: float
     ) -> None:
         """Keep counting a request as waiting until its caller is due to retry.
@@ -123,7 +123,7 @@
         keys = self._arrivals.keys() | self._served.keys()
         keys |= {key for key, count in self.waiting.items() if count}
         uses = [
-            ModelUse(
+            ModelUsage(
                 model,
                 adapter,
                 self._arrivals.get((model, adapter), 0),
@@ -135,7 +135,7 @@
             for model, adapter in sorted(keys)
         ]
         ended = [
-            ModelUse(model, adapter, 0, 0.0, 0)
+            ModelUsage(model, adapter, 0, 0.0, 0)
             for (model, adapter), count in self.waiting.items()
             if not count and (model, adapter) not in keys
         ]
--- a/chutelink/entry/main.py
+++ b/chutelink/entry/main.py
@@ -6,13 +6,13 @@
 import sys
 
 from ..settings import EntrySettings
-from ..startup import prepare_start
+from ..startup import prepare_startup
 from .listeners import open_listener
 
 
 def main() -> int:
     """Run an entry daemon."""
-    start = prepare_start(
+    start = prepare_startup(
         "chutelink-entry",
         "Relays callers' requests to endpoints on lent VMs.",
         EntrySettings,
@@ -23,13 +23,13 @@
     # Imported after the listener is open: this is most of the startup time, and
     # until callers can connect, a restarted daemon refuses every connection.
     from ..core import run_daemon
-    from ..platform.adapter import PreparedMachines
+    from ..platform.adapter import PreparedMachinesAdapter
     from .app import EntryApp
 
     gc.freeze()
     gc.enable()
     return run_daemon(
-        start, lambda settings: EntryApp(settings, PreparedMachines(), listener)
+        start, lambda settings: EntryApp(settings, PreparedMachinesAdapter(), listener)
     )
 
 
--- a/chutelink/entry/membership.py
+++ b/chutelink/entry/membership.py
@@ -21,7 +21,7 @@
 )
 from ..peers.mesh import Mesh
 from ..settings import EntrySection
-from ..store import Row, Transaction, WatchedTable, Write, decode_value
+from ..store import Row, Transaction, WatchableTable, Write, decode_value
 from ..tables.members import Member, Role
 
 NS_PER_MS = 1_000_000
@@ -91,7 +91,7 @@
     ----------
     core : Application
         The owner.
-    table : WatchedTable
+    table : WatchableTable
         Store table that holds the rows.
     mesh : Mesh
         Receives the addresses of the peers.
@@ -108,7 +108,7 @@
     def __init__(
         self,
         core: Application,
-        table: WatchedTable,
+        table: WatchableTable,
         mesh: Mesh,
         peer_address: str,
         capacity: float = 0.0,
--- a/chutelink/entry/message_router.py
+++ b/chutelink/entry/message_router.py
@@ -3,35 +3,35 @@
 from __future__ import annotations
 
 from ..core import Application
-from ..customers.news import Loan, LoanRequest
-from ..customers.quotas import QuotaKeeper
+from ..customers.messages import Loan, LoanRequest
+from ..customers.quotas import QuotaManager
 from ..exceptions import PeerMessageInvalid
 from ..ids import DaemonId
-from ..limits.news import PermitAnswer, PermitRequest
-from ..limits.permits import PermitDesk
+from ..limits.messages import PermitAnswer, PermitRequest
+from ..limits.permits import PermitManager
 from ..peers.mesh import Mesh
 from ..peers.messages import Broadcast
 from ..placing.lease import PlacerLease
 from ..placing.placer import Placer
-from ..quarantine.news import ClearedNews, EndingNews
+from ..quarantine.messages import ClearedMessage, EndingsMessage
 from ..quarantine.service import Quarantine
-from ..relaying.retries import RetryShare
+from ..relaying.retry_budget import RetryBudgetShare
 from ..watching.watch import StoreWatch
 from .demand import DemandTable
 from .directory import Directory
 from .endpoints import PLACER_TIMEOUT_S
-from .news import (
+from .messages import (
     EndpointLoad,
     EntryMessage,
     LeaseYield,
     LoadReport,
-    PlacementNews,
-    PlacerBeacon,
-    PromptNews,
+    PlacementUpdate,
+    PlacerHeartbeat,
+    PromptNotice,
     SnapshotRequest,
-    StoreNews,
-    decode_news,
-    encode_news,
+    StoreUpdate,
+    decode_entry_message,
+    encode_entry_message,
     topic_of,
 )
 from .pending import PendingTable
@@ -64,11 +64,11 @@
         Demand for models.
     pending : PendingTable
         Loads in progress.
-    retries : RetryShare
+    retry_budget : RetryBudgetShare
         Retry budget, divided among the serving daemons.
     quarantine : Quarantine
         Requests that terminate endpoints.
-    quotas : QuotaKeeper
+    quotas : QuotaManager
         Quota shares and loans.
     """
 
@@ -80,9 +80,9 @@
         known: EntryState,
         demand: DemandTable,
         pending: PendingTable,
-        retries: RetryShare,
+        retry_budget: RetryBudgetShare,
         quarantine: Quarantine,
-        quotas: QuotaKeeper,
+        quotas: QuotaManager,
     ) -> None:
         self._core = core
         self._mesh = mesh
@@ -90,7 +90,7 @@
         self._known = known
         self._demand = demand
         self._pending = pending
-        self._retries = retries
+        self._retry_budget = retry_budget
         self._quarantine = quarantine
         self._quotas = quotas
         self.serving: set[DaemonId] = set()
@@ -100,24 +100,24 @@
         self.watch: StoreWatch | None = None
         self.lease: PlacerLease | None = None
         self.placer: Placer | None = None
-        self.permits: PermitDesk | None = None
+        self.permits: PermitManager | None = None
 
     def send(self, message: EntryMessage) -> None:
         """Send a message to the daemons that need it, and apply it here if needed."""
-        if isinstance(message, PlacementNews):
+        if isinstance(message, PlacementUpdate):
             self._handle_placement(message)
         elif isinstance(message, LoadReport):
             self._demand.take(message.daemon, message.uses, self._core.clock())
             self._apply_streams(message)
             self._wake_placer(message)
         if (
-            isinstance(message, PromptNews)
-            and len(self._mesh.direct) > MAX_PROMPT_UPDATE_PEERS
+            isinstance(message, PromptNotice)
+            and len(self._mesh.direct_peers) > MAX_PROMPT_UPDATE_PEERS
         ):
             return
-        body, topic = encode_news(message), topic_of(message)
-        if isinstance(message, PlacementNews | LoadReport | PromptNews):
-            self._mesh.send_to(self._mesh.direct, body, topic)
+        body, topic = encode_entry_message(message), topic_of(message)
+        if isinstance(message, PlacementUpdate | LoadReport | PromptNotice):
+            self._mesh.send_to(self._mesh.direct_peers, body, topic)
         elif isinstance(message, SnapshotRequest):
             self._mesh.send_to(self._choose_snapshot_peers(), body, topic)
         else:
@@ -130,7 +130,7 @@
 
     def reply(self, daemon: DaemonId, message: EntryMessage) -> None:
         """Send a message to one daemon."""
-        self._mesh.send_to({daemon}, encode_news(message), topic_of(message))
+        self._mesh.send_to({daemon}, encode_entry_message(message), topic_of(message))
 
     def handle_broadcast(self, broadcast: Broadcast) -> None:
         """Handle a broadcast of another daemon."""
@@ -139,36 +139,36 @@
     def handle_direct(self, origin: DaemonId, body: bytes) -> None:
         """Handle a message of another daemon."""
         try:
-            message = decode_news(body, origin)
+            message = decode_entry_message(body, origin)
         except PeerMessageInvalid as error:
             self._core.events.warning("news_invalid", error=error)
             return
-        if isinstance(message, StoreNews):
-            self.watch.take_news(message, origin)
+        if isinstance(message, StoreUpdate):
+            self.watch.apply_update(message, origin)
         elif isinstance(message, SnapshotRequest):
             self.watch.take_request(message)
         elif isinstance(message, LoadReport):
             self._handle_load(message)
-        elif isinstance(message, PromptNews):
+        elif isinstance(message, PromptNotice):
             self._handle_prompt(message)
-        elif isinstance(message, PlacementNews):
+        elif isinstance(message, PlacementUpdate):
             self._handle_placement(message)
-        elif isinstance(message, PlacerBeacon):
+        elif isinstance(message, PlacerHeartbeat):
             self._note_placer(message.daemon, message.term)
         elif isinstance(message, LeaseYield):
-            self.lease.take_yield(message)
-        elif isinstance(message, EndingNews):
-            self._quarantine.take_endings(message, origin)
-        elif isinstance(message, ClearedNews):
+            self.lease.note_yield(message)
+        elif isinstance(message, EndingsMessage):
+            self._quarantine.apply_endings(message, origin)
+        elif isinstance(message, ClearedMessage):
             self._quarantine.clear(message.fingerprint, "told")
         elif isinstance(message, LoanRequest):
-            self._quotas.take_request(message)
+            self._quotas.handle_request(message)
         elif isinstance(message, Loan):
-            self._quotas.take_loan(message)
+            self._quotas.handle_loan(message)
         elif isinstance(message, PermitRequest):
-            self.permits.take_request(message)
+            self.permits.handle_request(message)
         elif isinstance(message, PermitAnswer):
-            self.permits.take_answer(message)
+            self.permits.handle_answer(message)
 
     def _handle_load(self, message: LoadReport) -> None:
         now_s = self._core.clock()
@@ -178,16 +178,16 @@
         for endpoint, chain in message.prefixes:
             self._known.prefixes.note(endpoint, chain, now_s)
         for limit in message.limits:
-            self._known.endpoints.take_limit(limit, now_s)
+            self._known.endpoints.update_limit(limit, now_s)
         for leaving in message.leaving:
             self._known.endpoints.note_leaving(leaving.endpoint, leaving.born_ms)
         self._wake_placer(message)
 
-    def _handle_prompt(self, message: PromptNews) -> None:
+    def _handle_prompt(self, message: PromptNotice) -> None:
         load = EndpointLoad(message.endpoint, 1, message.read_s, {message.ref: 1})
-        self._known.endpoints.take_sent(message.daemon, load)
+        self._known.endpoints.add_sent(message.daemon, load)
         read_s = message.read_s * self._known.speeds.endpoint_factor(message.endpoint)
-        self._known.reading.note(message.endpoint, read_s, self._core.clock())
+        self._known.prefill_table.note(message.endpoint, read_s, self._core.clock())
 
     def _apply_streams(self, message: LoadReport) -> None:
         now_s = self._core.clock()
@@ -197,11 +197,11 @@
             )
 
     def _wake_placer(self, message: LoadReport) -> None:
-        self.placer.doubt(message.unreachable)
+        self.placer.recheck_endpoints(message.unreachable)
         if any(use.waiting for use in message.uses):
             self.placer.wake()
 
-    def _handle_placement(self, message: PlacementNews) -> None:
+    def _handle_placement(self, message: PlacementUpdate) -> None:
         if not self._note_placer(message.daemon, message.term):
             return
         if message.daemon != self._core.daemon_id:
@@ -209,7 +209,7 @@
                 models = {
                     model: frozenset(names) for model, names in placement.models.items()
                 }
-                self._known.endpoints.take_models(
+                self._known.endpoints.update_models(
                     placement.endpoint, placement.born_ms, placement.sequence, models
                 )
         self._pending.take(
@@ -238,10 +238,10 @@
         """Link to the placer, and to the serving daemons if this daemon needs them."""
         serving = self._directory.serving()
         self.serving = set(serving)
-        self._retries.daemons = max(1, len(serving))
+        self._retry_budget.daemons = max(1, len(serving))
         own_id = self._core.daemon_id
         is_needed = own_id in serving or own_id == self._placer_id
         wanted = set(serving) if is_needed else set()
         if self._placer_id is not None:
             wanted.add(self._placer_id)
-        self._mesh.direct = wanted - {own_id}
+        self._mesh.direct_peers = wanted - {own_id}
--- a/chutelink/entry/news.py
+++ b/chutelink/entry/messages.py
@@ -7,7 +7,7 @@
 import cbor2
 import msgspec
 
-from ..customers.news import Loan, LoanRequest
+from ..customers.messages import Loan, LoanRequest
 from ..exceptions import PeerMessageInvalid
 from ..ids import (
     NO_ERA,
@@ -18,9 +18,9 @@
     ModelRef,
     StoreEra,
 )
-from ..limits.news import EndpointLimit, PermitAnswer, PermitRequest
-from ..peers.packing import UNPACK_FAILURES, pack, unpack
-from ..quarantine.news import ClearedNews, EndingNews
+from ..limits.messages import EndpointLimit, PermitAnswer, PermitRequest
+from ..peers.packing import UNPACK_ERRORS, pack, unpack
+from ..quarantine.messages import ClearedMessage, EndingsMessage
 
 
 class StoredRow(msgspec.Struct, frozen=True, array_like=True):
@@ -31,7 +31,7 @@
     value: Any
 
 
-class StoreNews(msgspec.Struct, frozen=True, array_like=True, tag="store"):
+class StoreUpdate(msgspec.Struct, frozen=True, array_like=True, tag="store"):
     """Changes of a table since a version, as read by the sender.
 
     ``after`` is 0 for the complete table: rows that are not included have been removed.
@@ -61,14 +61,14 @@
     daemon: DaemonId
 
 
-class PlacerBeacon(msgspec.Struct, frozen=True, array_like=True, tag="placer"):
+class PlacerHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="placer"):
     """Heartbeat of the placer, for daemons that don't need placement details."""
 
     daemon: DaemonId
     term: int
 
 
-class ModelUse(msgspec.Struct, frozen=True, array_like=True):
+class ModelUsage(msgspec.Struct, frozen=True, array_like=True):
     """Requests for a model or adapter at one daemon.
 
     ``waiting`` counts requests whose model or adapter is not loaded, ``patient`` those
@@ -122,7 +122,7 @@
 
     daemon: DaemonId
     endpoints: list[EndpointLoad]
-    uses: list[ModelUse]
+    uses: list[ModelUsage]
     prefixes: list[tuple[EndpointId, list[int]]] = []
     unreachable: list[EndpointId] = []
     streams: list[StreamCount] = []
@@ -130,7 +130,7 @@
     leaving: list[LeavingEndpoint] = []
 
 
-class PromptNews(msgspec.Struct, frozen=True, array_like=True, tag="prompt"):
+class PromptNotice(msgspec.Struct, frozen=True, array_like=True, tag="prompt"):
     """A prompt that one daemon has just sent.
 
     ``read_s`` is the time an average endpoint takes to process it.
@@ -171,7 +171,7 @@
     ready_in_s: float
 
 
-class PlacementNews(msgspec.Struct, frozen=True, array_like=True, tag="placement"):
+class PlacementUpdate(msgspec.Struct, frozen=True, array_like=True, tag="placement"):
     """Placements known to the placer, and the loads in progress.
 
     ``endpoints`` lists those that changed since the last message, ``queued`` the models
@@ -201,14 +201,14 @@
 
 EntryMessage = (
     LeaseYield
-    | StoreNews
+    | StoreUpdate
     | SnapshotRequest
     | LoadReport
-    | PromptNews
-    | PlacementNews
-    | PlacerBeacon
-    | EndingNews
-    | ClearedNews
+    | PromptNotice
+    | PlacementUpdate
+    | PlacerHeartbeat
+    | EndingsMessage
+    | ClearedMessage
     | LoanRequest
     | Loan
     | PermitRequest
@@ -219,7 +219,7 @@
     ValueError,
     TypeError,
     LookupError,
-    *UNPACK_FAILURES,
+    *UNPACK_ERRORS,
 )
 
 
@@ -228,12 +228,12 @@
     return message.__struct_config__.tag
 
 
-def encode_news(message: EntryMessage) -> bytes:
+def encode_entry_message(message: EntryMessage) -> bytes:
     """Encode a message as CBOR, compressed if it is large enough."""
     return pack(cbor2.dumps(msgspec.to_builtins(message)))
 
 
-def decode_news(body: bytes, peer: str) -> EntryMessage:
+def decode_entry_message(body: bytes, peer: str) -> EntryMessage:
     """Decode a message.
 
     Raises
--- a/chutelink/entry/pending.py
+++ b/chutelink/entry/pending.py
@@ -7,7 +7,7 @@
 
 from ..ids import AdapterName, EndpointId, ModelName
 from .endpoints import NO_ADAPTER
-from .news import PendingLoad, QueuedLoad
+from .messages import PendingLoad, QueuedLoad
 
 ANNOUNCEMENT_VALID_S = 1.5
 """Validity of an announcement, after which pending loads are unknown.
--- a/chutelink/entry/state.py
+++ b/chutelink/entry/state.py
@@ -11,11 +11,11 @@
 from ..ids import EndpointId
 from ..learning.durations import DurationTable
 from ..learning.health import HealthTable
+from ..learning.prefill import PrefillTable
 from ..learning.prefixes import PrefixTable
-from ..learning.reading import ReadingTable
 from ..learning.speeds import SpeedTable
 from ..quarantine.service import Quarantine
-from ..watching.followed import RowChange
+from ..watching.table_state import RowChange
 from .adapter import PlatformAdapter
 from .config import RouteTable
 from .endpoints import Endpoint, EndpointRecord, EndpointTable, RegistrationResult
@@ -59,11 +59,11 @@
         self.prefixes = PrefixTable()
         self.speeds = SpeedTable()
         self.durations = DurationTable()
-        self.reading = ReadingTable()
+        self.prefill_table = PrefillTable()
         self.on_config: Callable[[], None] = lambda: None
         self.on_endpoints: Callable[[], None] = lambda: None
 
-    def take_row(self, change: RowChange) -> None:
+    def apply_row(self, change: RowChange) -> None:
         """Apply a changed or removed row."""
         if change.key == KEY_ROUTING_CONFIG:
             if change.value is not None:
@@ -151,7 +151,7 @@
         )
         self.health.forget(record.id)
         self.prefixes.forget(record.id)
-        self.reading.forget(record.id)
+        self.prefill_table.forget(record.id)
         self._quarantine.note_restarted(before.incarnation)
 
     def _since_last_sent_s(self, endpoint: EndpointId) -> float:
@@ -182,7 +182,7 @@
         )
         self.endpoints.remove(endpoint)
         if row.is_ready:
-            self._quarantine.note_vanished(row.record.incarnation)
+            self._quarantine.note_registration_lapsed(row.record.incarnation)
         self._forget(row, "removed")
 
     def expire(self) -> None:
@@ -194,7 +194,7 @@
         self.health.forget(row.record.id)
         self.prefixes.forget(row.record.id)
         self.speeds.forget(row.record.id)
-        self.reading.forget(row.record.id)
+        self.prefill_table.forget(row.record.id)
         self._quarantine.forget_endpoint(row.record.id)
         self._core.events.record(
             "endpoint_gone",
--- a/chutelink/fleet/parse.py
+++ b/chutelink/fleet/parse.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from ..ini import IniFile, Problem, Section, decode_section, read_ini
-from ..systems.packing import pack_minimum
+from ..systems.packing import pack_minimum_replicas
 from .model import (
     AdapterSpec,
     CallerSpec,
@@ -195,7 +195,7 @@
 
 def _check_memory(fleet: FleetSpec, ini: IniFile) -> list[Problem]:
     collector = _ProblemCollector(ini)
-    for name in pack_minimum(fleet).unplaced:
+    for name in pack_minimum_replicas(fleet).unplaced:
         message = (
             "the declared accelerator memory is too small to keep all models loaded; "
             "this model does not fit"
--- a/chutelink/gateway/app.py
+++ b/chutelink/gateway/app.py
@@ -8,7 +8,7 @@
 from mode import Service
 
 from ..daemon import Daemon
-from ..endpoints.news import TOPIC_LOADED, decode_loaded
+from ..endpoints.notifications import TOPIC_LOADED, decode_loaded
 from ..exceptions import PeerMessageInvalid
 from ..peers.messages import Broadcast
 from ..settings import GatewaySettings
@@ -49,7 +49,7 @@
         self.components = GatewayComponents(
             self, settings, self.client, claims, self.endpoints, self.members
         )
-        self.http = GatewayHttp(self.components, self.keeper)
+        self.http = GatewayHttp(self.components, self.config_manager)
         self.monitor.on_change = self.components.dispatcher.dispatch_waiting
         self.components.dispatcher.async_refresh_reports = self.monitor.async_refresh
         self.mesh.on_members_changed = self._update_rate_limits
@@ -67,9 +67,9 @@
         is_polled = all(row.report is not None or row.report_failures for row in rows)
         return super().is_ready() and is_polled
 
-    def on_fleet(self) -> None:
+    def on_fleet_change(self) -> None:
         """Apply the callers and policies of the active fleet."""
-        fleet = self.keeper.fleet
+        fleet = self.config_manager.fleet
         self.components.sync_keys(fleet)
         self.components.dispatcher.sync(fleet)
         self._update_rate_limits()
@@ -86,7 +86,7 @@
         self.monitor.request_report(loaded.endpoint)
 
     def _update_rate_limits(self) -> None:
-        fleet = self.keeper.fleet
+        fleet = self.config_manager.fleet
         if fleet is None:
             return
         live_gateways = len(self.members.live(Role.GATEWAY))
@@ -96,8 +96,8 @@
 
     def _update_rate_shares(self) -> None:
         queues = self.mesh.queues
-        other_rates_per_s = queues.callers_of_others(self.daemon_id, self.clock())
-        self.components.callers.share(other_rates_per_s)
+        other_rates_per_s = queues.caller_rates_of_others(self.daemon_id, self.clock())
+        self.components.callers.apply_usage_of_others(other_rates_per_s)
 
     @Service.task
     async def _async_publish_queue(self) -> None:
@@ -109,7 +109,9 @@
         while not self.should_stop:
             await self.sleep(QUEUE_PUBLISH_INTERVAL_S)
             waiting = self.components.dispatcher.waiting_by_model()
-            callers_per_s = self.components.callers.take_usage(QUEUE_PUBLISH_INTERVAL_S)
+            callers_per_s = self.components.callers.collect_usage(
+                QUEUE_PUBLISH_INTERVAL_S
+            )
             has_data = bool(waiting or callers_per_s)
             if has_data or was_published:
                 self.mesh.publish_queue(waiting, callers_per_s)
--- a/chutelink/gateway/completions.py
+++ b/chutelink/gateway/completions.py
@@ -9,7 +9,7 @@
 from opentelemetry.trace import Span
 
 from ..const import HEADER_IDEMPOTENCY_KEY, HEADER_NON_IDEMPOTENT
-from ..endpoints.client import WholeAnswer
+from ..endpoints.client import EndpointResponse
 from ..fleet import CallerSpec, FleetSpec
 from ..tables.requests import WaitingRequest
 from .components import REQUEST_ID, GatewayComponents
@@ -102,7 +102,7 @@
         return Exchange(waiting, request.path, body, is_repeatable, span)
 
 
-def _to_response(answer: WholeAnswer) -> web.Response:
+def _to_response(answer: EndpointResponse) -> web.Response:
     return web.Response(
         status=answer.status,
         body=answer.body,
--- a/chutelink/gateway/dispatcher.py
+++ b/chutelink/gateway/dispatcher.py
@@ -14,7 +14,7 @@
 from ..ids import EndpointName
 from ..systems.admission import DrainRate, retry_after_s
 from ..systems.queueing import Queueing, make_queueing
-from ..systems.routing import Routing, make_routing, usable
+from ..systems.routing import Routing, make_routing, usable_endpoints
 from ..tables.endpoints import Endpoint, EndpointTable
 from ..tables.requests import RequestQueue, WaitingRequest
 from .refusals import Refusal, unavailable
@@ -96,7 +96,7 @@
         if self._is_served(declared):
             return declared
         for row in self._table.engines():
-            if not row.takes_new_work:
+            if not row.accepts_requests:
                 continue
             loaded = tuple(_loaded_version(row, each) for each in declared)
             if None not in loaded:
@@ -153,7 +153,7 @@
         excluded: frozenset[EndpointName] = frozenset(),
     ) -> bool:
         return any(
-            row.takes_new_work and row.name not in excluded
+            row.accepts_requests and row.name not in excluded
             for row in self._table.holders(artifacts)
         )
 
@@ -254,7 +254,7 @@
         skipped: list[WaitingRequest] = []
         while group := [r for r in self._queue.group(artifacts) if r not in skipped]:
             request = self._queueing.select(group, now_s)
-            candidates = usable(holders, request, now_s)
+            candidates = usable_endpoints(holders, request, now_s)
             row = self._routing.choose(candidates, request, now_s)
             if row is None and not request.excluded:
                 return
@@ -263,7 +263,7 @@
                 continue
             self._queue.remove(request)
             row.inflight += 1
-            self._drain_rate.note(now_s)
+            self._drain_rate.record(now_s)
             request.dispatched.set_result(row.name)
 
     def _retry_after_s(self) -> float:
--- a/chutelink/gateway/http.py
+++ b/chutelink/gateway/http.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from opentelemetry.trace import Span
 
-from ..configuration import ConfigKeeper
+from ..configuration import ConfigManager
 from ..const import HEADER_REQUEST_ID
 from ..fleet import CallerSpec, FleetSpec
 from ..ids import RequestId, make_id
@@ -49,11 +49,11 @@
     ----------
     components : GatewayComponents
         Components that the handlers share.
-    config : ConfigKeeper
+    config : ConfigManager
         Provides the active fleet.
     """
 
-    def __init__(self, components: GatewayComponents, config: ConfigKeeper) -> None:
+    def __init__(self, components: GatewayComponents, config: ConfigManager) -> None:
         self._components = components
         self._config = config
 
--- a/chutelink/gateway/idempotency.py
+++ b/chutelink/gateway/idempotency.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from ..endpoints.client import WholeAnswer
+from ..endpoints.client import EndpointResponse
 from .claims import Claim, StoredAnswer, claim_key
 from .components import GatewayComponents
 from .refusals import Outcome, Refusal, malformed
@@ -15,7 +15,7 @@
 HEADER_REPLAYED = "Chutelink-Replayed"
 MAX_KEY_LENGTH = 256
 
-RunRequest = Callable[[], Awaitable[WholeAnswer]]
+RunRequest = Callable[[], Awaitable[EndpointResponse]]
 
 
 async def async_run_idempotent(
@@ -72,7 +72,7 @@
 
 async def _async_run_and_update_claim(
     components: GatewayComponents, claim: Claim, run: RunRequest
-) -> WholeAnswer:
+) -> EndpointResponse:
     try:
         return await run()
     except Refusal as refusal:
--- a/chutelink/gateway/refusals.py
+++ b/chutelink/gateway/refusals.py
@@ -63,7 +63,9 @@
             problem["detail"] = self.detail
         return problem
 
-    def to_response(self, *, has_fractions: bool = False) -> web.Response:
+    def to_response(
+        self, *, allow_fractional_retry_after: bool = False
+    ) -> web.Response:
         """Return the HTTP response for the caller.
 
         ``Retry-After`` is in whole seconds, rounded up, unless the caller accepts
@@ -73,7 +75,9 @@
         if self.outcome is Outcome.NOT_RUN:
             whole_s = max(1, math.ceil(self.retry_after_s))
             exact_s = f"{self.retry_after_s:.2f}"
-            headers[HEADER_RETRY_AFTER] = exact_s if has_fractions else str(whole_s)
+            headers[HEADER_RETRY_AFTER] = (
+                exact_s if allow_fractional_retry_after else str(whole_s)
+            )
         if self.status == 401:
             headers["WWW-Authenticate"] = "Bearer"
         return web.Response(
--- a/chutelink/gateway/relay.py
+++ b/chutelink/gateway/relay.py
@@ -18,7 +18,12 @@
     STREAM_END,
 )
 from ..core import Application
-from ..endpoints.client import Call, EndpointClient, WholeAnswer, async_iter_events
+from ..endpoints.client import (
+    EndpointClient,
+    EndpointRequest,
+    EndpointResponse,
+    async_iter_events,
+)
 from ..endpoints.messages import (
     HEADER_PRIORITY,
     HEADER_RESUME_FROM,
@@ -92,7 +97,7 @@
         self._retry_budget = retry_budget
         self._idle_timeout_s = idle_timeout_s
 
-    async def async_relay_response(self, exchange: Exchange) -> WholeAnswer:
+    async def async_relay_response(self, exchange: Exchange) -> EndpointResponse:
         """Return the complete response of an endpoint.
 
         Raises
@@ -129,11 +134,11 @@
 
     async def _async_attempt_response(
         self, exchange: Exchange, row: Endpoint
-    ) -> WholeAnswer:
+    ) -> EndpointResponse:
         with self._start_exchange_span(exchange, row) as span:
             try:
-                call = self._make_call(exchange, span)
-                answer = await self._client.async_exchange(row.spec, call)
+                endpoint_request = self._make_endpoint_request(exchange, span)
+                answer = await self._client.async_exchange(row.spec, endpoint_request)
             finally:
                 self._dispatcher.release(row.name)
         if answer.status >= SERVER_ERROR:
@@ -179,11 +184,13 @@
     ) -> None:
         request_id = exchange.waiting.request_id.encode()
         with self._start_exchange_span(exchange, row) as span:
-            call = self._make_call(exchange, span)
+            endpoint_request = self._make_endpoint_request(exchange, span)
             if stream.events:
-                call.headers[HEADER_RESUME_FROM] = str(stream.events)
+                endpoint_request.headers[HEADER_RESUME_FROM] = str(stream.events)
             try:
-                async with self._client.async_open(row.spec, call) as response:
+                async with self._client.async_open(
+                    row.spec, endpoint_request
+                ) as response:
                     await _async_check_status(response, row)
                     async for event in async_iter_events(response, row.spec):
                         if event == STREAM_END:
@@ -206,7 +213,7 @@
             attributes={"endpoint": row.name},
         )
 
-    def _make_call(self, exchange: Exchange, span: Span) -> Call:
+    def _make_endpoint_request(self, exchange: Exchange, span: Span) -> EndpointRequest:
         waiting = exchange.waiting
         headers = {
             "Content-Type": "application/json",
@@ -215,7 +222,7 @@
             HEADER_PRIORITY: str(waiting.request_class.priority),
         }
         inject_context(span, headers)
-        return Call(
+        return EndpointRequest(
             "POST",
             exchange.path,
             headers,
--- a/chutelink/gateway/services.py
+++ b/chutelink/gateway/services.py
@@ -8,7 +8,7 @@
 from opentelemetry.trace import Span, set_span_in_context
 
 from ..const import HEADER_IDEMPOTENCY_KEY, HEADER_NON_IDEMPOTENT, HEADER_REQUEST_ID
-from ..endpoints.client import Call, WholeAnswer
+from ..endpoints.client import EndpointRequest, EndpointResponse
 from ..exceptions import EndpointFailed, EndpointRefused, EndpointUnreachable
 from ..fleet import CallerSpec, FleetSpec, ServiceSpec
 from ..tables.endpoints import Endpoint
@@ -86,7 +86,7 @@
             and HEADER_NON_IDEMPOTENT not in request.headers
         )
 
-    async def async_run(self) -> WholeAnswer:
+    async def async_run(self) -> EndpointResponse:
         """Return the response.
 
         Raises
@@ -118,7 +118,7 @@
         available = [
             rows[name]
             for name in self._service.endpoints
-            if name in rows and rows[name].takes_new_work
+            if name in rows and rows[name].accepts_requests
         ]
         own_domain = self._components.core.daemon.failure_domain
         return sorted(
@@ -130,7 +130,7 @@
             ),
         )
 
-    async def _async_attempt(self, row: Endpoint) -> WholeAnswer:
+    async def _async_attempt(self, row: Endpoint) -> EndpointResponse:
         request = self._request
         path = "/" + request.match_info["tail"]
         if request.query_string:
@@ -142,7 +142,7 @@
         ) as span:
             row.inflight += 1
             try:
-                call = Call(
+                endpoint_request = EndpointRequest(
                     request.method,
                     path,
                     self._headers(span),
@@ -150,7 +150,9 @@
                     self._service.timeout_s,
                     self.is_repeatable,
                 )
-                answer = await self._components.client.async_exchange(row.spec, call)
+                answer = await self._components.client.async_exchange(
+                    row.spec, endpoint_request
+                )
             finally:
                 row.inflight -= 1
         self._components.endpoints.note_success(row.name)
--- a/chutelink/learning/processes.py
+++ b/chutelink/learning/endpoint_processes.py
@@ -8,7 +8,7 @@
 """Limit of remembered processes; rows of leaving ones are soon removed for good."""
 
 
-class ProcessMemory:
+class EndpointProcessCache:
     """The process last recorded for each endpoint; the oldest records are evicted."""
 
     def __init__(self) -> None:
--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -118,7 +118,7 @@
             if row.unreachable and now_s < row.away_until_s
         ]
 
-    def is_open(self, endpoint: EndpointId, now_s: float) -> bool:
+    def is_available(self, endpoint: EndpointId, now_s: float) -> bool:
         """Return whether an endpoint is outside its backoff after failures."""
         row = self._rows.get(endpoint)
         return row is None or now_s >= row.closed_until_s
--- a/chutelink/learning/otherloads.py
+++ b/chutelink/learning/peer_loads.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterator
 from itertools import chain
 
-from ..entry.news import EndpointLoad
+from ..entry.messages import EndpointLoad
 from ..ids import DaemonId
 
 DAEMON_TIMEOUT_S = 2.0
 """How long a daemon's report is valid; one is sent every 0.2 s."""
 
 
-class OtherLoads:
+class PeerLoads:
     """The loads that other daemons reported, and the requests they sent since."""
 
     def __init__(self) -> None:
@@ -20,13 +20,15 @@
         self._sent_since: dict[DaemonId, list[EndpointLoad]] = {}
         self._reported_s: dict[DaemonId, float] = {}
 
-    def take(self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float) -> None:
+    def set_loads(
+        self, daemon: DaemonId, loads: list[EndpointLoad], now_s: float
+    ) -> None:
         """Replace the loads of a daemon by a new report."""
         self._reported[daemon] = loads
         self._sent_since.pop(daemon, None)
         self._reported_s[daemon] = now_s
 
-    def take_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
+    def add_sent(self, daemon: DaemonId, load: EndpointLoad) -> None:
         """Add a request that a daemon sent since its last report."""
         self._sent_since.setdefault(daemon, []).append(load)
 
--- a/chutelink/learning/reading.py
+++ b/chutelink/learning/prefill.py
@@ -30,7 +30,7 @@
     read_s: float
 
 
-class ReadingTable:
+class PrefillTable:
     """Recently sent prompts by endpoint, including those reported by other daemons."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         while now_s - sent[0].at_s > RETENTION_S:
             sent.popleft()
 
-    def room_in_s(
+    def prefill_delay_s(
         self, endpoint: EndpointId, read_s: float, now_s: float, max_pause_s: float
     ) -> float:
         """Return the delay after which a prompt no longer stalls an endpoint's streams.
--- a/chutelink/learning/prefixes.py
+++ b/chutelink/learning/prefixes.py
@@ -5,7 +5,7 @@
 import zlib
 from collections import OrderedDict
 
-from ..entry.dialect import PromptPart
+from ..entry.headers import PromptPart
 from ..ids import AdapterName, EndpointId, ModelName
 
 MAX_PREFIXES = 400
--- a/chutelink/limits/const.py
+++ b/chutelink/limits/const.py
@@ -28,5 +28,5 @@
 """How long a daemon waits for a permit of another one: some round trips of 3 ms."""
 PERMIT_RETRY_PAUSE_S: Final = 0.25
 """How long no permit is requested after a permit request failed or timed out."""
-MIN_BACK_S: Final = 0.2
+MIN_RETRY_AFTER_S: Final = 0.2
 """Minimum retry delay given to callers."""
--- a/chutelink/limits/model.py
+++ b/chutelink/limits/model.py
@@ -35,7 +35,7 @@
         self.known_s = now_s
         return is_changed
 
-    def note_none(self, sent_s: float) -> bool:
+    def note_unlimited(self, sent_s: float) -> bool:
         """Handle an answer without a limit; return whether this lifts the limit.
 
         Only the answer to a request that was sent after the limit was received lifts
--- a/chutelink/limits/permits.py
+++ b/chutelink/limits/permits.py
@@ -13,12 +13,12 @@
 from ..ids import DaemonId, EndpointId, Incarnation, incarnation_of
 from ..systems.hashing import rendezvous_order
 from .const import PERMIT_RETRY_PAUSE_S, PERMIT_TIMEOUT_S
+from .messages import PermitAnswer, PermitRequest
 from .model import Permit
-from .news import PermitAnswer, PermitRequest
 from .pacer import Pacer
 
 
-class PermitDesk:
+class PermitManager:
     """Grants permits for the endpoints that this daemon paces, and requests others.
 
     Each endpoint is paced by one of the serving daemons, whichever daemon its requests
@@ -41,10 +41,10 @@
         self.linked: Callable[[], set[DaemonId]] = set
         """Returns the daemons to which there is a link."""
         self.send: Callable[[DaemonId, PermitRequest | PermitAnswer], None] = (
-            lambda to, news: None
+            lambda to, message: None
         )
 
-    async def async_ask(
+    async def async_request_permit(
         self,
         endpoint: EndpointId,
         born_ms: int,
@@ -77,7 +77,7 @@
         serving = self.serving() or {self._core.daemon_id}
         return DaemonId(rendezvous_order(endpoint, serving)[0])
 
-    def take_request(self, request: PermitRequest) -> None:
+    def handle_request(self, request: PermitRequest) -> None:
         """Answer another daemon's request for a permit.
 
         The permit is refused if another daemon paces the endpoint: the requesting
@@ -93,7 +93,7 @@
         )
         self.send(request.daemon, answer)
 
-    def take_answer(self, answer: PermitAnswer) -> None:
+    def handle_answer(self, answer: PermitAnswer) -> None:
         """Handle the answer to a permit request; a late permit is discarded."""
         pending = self._pending_requests.get(answer.number)
         if pending is not None and not pending.done():
--- a/chutelink/peers/silence.py
+++ b/chutelink/peers/isolation.py
@@ -5,7 +5,7 @@
 import math
 
 
-class PeerSilence:
+class IsolationDetector:
     """Records when this daemon last received nothing from any peer for a while.
 
     This distinguishes a daemon that was isolated itself from an outage that its peers
@@ -22,13 +22,13 @@
         self._last_received_s = -math.inf
         self._silence_ended_s = -math.inf
 
-    def note_heard(self, now_s: float) -> None:
+    def note_message(self, now_s: float) -> None:
         """Record that a message was received from some peer."""
         if self._is_silent(now_s):
             self._silence_ended_s = now_s
         self._last_received_s = now_s
 
-    def alone_until_s(self, now_s: float) -> float:
+    def isolated_until_s(self, now_s: float) -> float:
         """Return when the last silence of all peers ended; now if it still lasts.
 
         Minus infinity if no peer was ever heard from or no such silence occurred.
--- a/chutelink/peers/link_manager.py
+++ b/chutelink/peers/link_manager.py
@@ -53,7 +53,7 @@
         self._links = links
         self._dialer = dialer
         self._disseminator = disseminator
-        self.direct: set[DaemonId] = set()
+        self.direct_peers: set[DaemonId] = set()
         self._missing_since_s: dict[DaemonId, float] = {}
         self._started_s = core.clock()
 
@@ -105,7 +105,7 @@
     def _direct_members(self) -> list[Member]:
         """Return the members to keep direct links to."""
         rows = self._table.rows
-        found = [rows[name] for name in self.direct if name in rows]
+        found = [rows[name] for name in self.direct_peers if name in rows]
         own_id = self._table.own.id
         return [m for m in found if m.id != own_id and m.state in LINKABLE_STATES]
 
@@ -115,7 +115,7 @@
         wanted: set[str] = set()
         # While a fleet starts, a daemon would choose most of the few members that it
         # has discovered as serving ones, and open links to all of them.
-        if now_s - self._table.grew_s > MEMBERSHIP_SETTLE_S:
+        if now_s - self._table.last_new_member_s > MEMBERSHIP_SETTLE_S:
             members = self._direct_members()
             wanted |= {m.peer_address for m in members if m.id not in linked}
         wanted |= self._addresses_to_dial(neighbours, linked, now_s)
--- a/chutelink/peers/mesh.py
+++ b/chutelink/peers/mesh.py
@@ -21,6 +21,7 @@
 from ..tables.queues import QueueTable
 from .dialing import Dialer
 from .dissemination import Disseminator
+from .isolation import IsolationDetector
 from .link import Link
 from .link_manager import LinkManager
 from .messages import (
@@ -32,12 +33,11 @@
     Hello,
     MemberUpdate,
     Message,
-    QueueNews,
+    QueueUpdate,
     decode_message,
     encode_message,
     message_kind,
 )
-from .silence import PeerSilence
 from .traffic import TrafficMeter
 from .transport import PeerConnection, PeerTransport, WebsocketTransport
 
@@ -96,7 +96,7 @@
         self._link_manager = LinkManager(
             core, settings, table, self._links, self._dialer, self._disseminator
         )
-        self._silence = PeerSilence(settings.peer_timeout_s)
+        self._isolation = IsolationDetector(settings.peer_timeout_s)
         self.on_broadcast: Callable[[Broadcast], None] = lambda message: None
         self.on_direct: Callable[[DaemonId, bytes], None] = lambda origin, body: None
         self.config_version: Callable[[], ConfigVersion] = lambda: ConfigVersion(0)
@@ -107,13 +107,13 @@
         self.on_config_body: Callable[[ConfigBody], None] = lambda body: None
 
     @property
-    def direct(self) -> set[DaemonId]:
+    def direct_peers(self) -> set[DaemonId]:
         """The members that this daemon keeps direct links to, besides neighbours."""
-        return self._link_manager.direct
+        return self._link_manager.direct_peers
 
-    @direct.setter
-    def direct(self, members: set[DaemonId]) -> None:
-        self._link_manager.direct = members
+    @direct_peers.setter
+    def direct_peers(self, members: set[DaemonId]) -> None:
+        self._link_manager.direct_peers = members
 
     async def on_start(self) -> None:
         """Start to accept connections from peers."""
@@ -155,9 +155,9 @@
                 link.send(ConfigRequest())
                 return
 
-    def alone_until_s(self) -> float:
+    def isolated_until_s(self) -> float:
         """Return until when this daemon last received nothing from any peer."""
-        return self._silence.alone_until_s(self._core.clock())
+        return self._isolation.isolated_until_s(self._core.clock())
 
     def linked_members(self) -> set[DaemonId]:
         """Return the ids of the members that this daemon has links to."""
@@ -179,7 +179,7 @@
         try:
             async for data in link.connection:
                 link.last_received_s = self._core.clock()
-                self._silence.note_heard(link.last_received_s)
+                self._isolation.note_message(link.last_received_s)
                 message = decode_message(data, self._peer_name(link))
                 link.note_received(message, len(data))
                 self._handle_message(link, message)
@@ -206,7 +206,7 @@
             self._handle_config_version(link, message.config_version)
         elif isinstance(message, MemberUpdate):
             self._handle_members(link, message.members)
-        elif isinstance(message, QueueNews):
+        elif isinstance(message, QueueUpdate):
             self._handle_queue_update(message, link)
         elif isinstance(message, Broadcast):
             if self._disseminator.receive_broadcast(message, link):
@@ -234,7 +234,7 @@
     ) -> None:
         """Send this gateway's queued requests and caller rates to all daemons."""
         own = self.table.own
-        update = QueueNews(
+        update = QueueUpdate(
             own.id,
             own.boot_id,
             own.failure_domain,
@@ -244,7 +244,7 @@
         )
         self._handle_queue_update(update, None)
 
-    def _handle_queue_update(self, update: QueueNews, source: Link | None) -> None:
+    def _handle_queue_update(self, update: QueueUpdate, source: Link | None) -> None:
         if not self.queues.merge(update, self._core.clock()):
             return
         if source is None:
--- a/chutelink/peers/messages.py
+++ b/chutelink/peers/messages.py
@@ -9,7 +9,7 @@
 from ..exceptions import PeerMessageInvalid
 from ..ids import BootId, ConfigVersion, DaemonId, FailureDomainName
 from ..tables.members import Member
-from .packing import PLAIN, UNPACK_FAILURES, pack, unpack
+from .packing import PLAIN, UNPACK_ERRORS, pack, unpack
 
 _DECODE_ERRORS = (
     cbor2.CBORDecodeError,
@@ -19,7 +19,7 @@
     RecursionError,
     MemoryError,
     LookupError,
-    *UNPACK_FAILURES,
+    *UNPACK_ERRORS,
 )
 
 
@@ -49,7 +49,7 @@
     members: list[Member]
 
 
-class QueueNews(msgspec.Struct, frozen=True, array_like=True, tag="queue"):
+class QueueUpdate(msgspec.Struct, frozen=True, array_like=True, tag="queue"):
     """The queued requests of a gateway by model, and its request rates by caller.
 
     Forwarded once. ``callers_per_s`` lists only callers that use a large part of their
@@ -101,7 +101,7 @@
     Hello
     | Heartbeat
     | MemberUpdate
-    | QueueNews
+    | QueueUpdate
     | ConfigRequest
     | ConfigBody
     | Broadcast
--- a/chutelink/peers/packing.py
+++ b/chutelink/peers/packing.py
@@ -14,7 +14,7 @@
 It saves a lot on configurations and lists of members.
 """
 COMPRESSION_LEVEL = 1
-UNPACK_FAILURES = (ValueError, zlib.error)
+UNPACK_ERRORS = (ValueError, zlib.error)
 
 
 def pack(data: bytes) -> bytes:
--- a/chutelink/placing/announcer.py
+++ b/chutelink/placing/announcer.py
@@ -6,20 +6,20 @@
 
 from ..core import Application
 from ..entry.endpoints import EndpointTable
-from ..entry.news import (
+from ..entry.messages import (
     EndpointPlacement,
     PendingLoad,
-    PlacementNews,
-    PlacerBeacon,
+    PlacementUpdate,
+    PlacerHeartbeat,
     QueuedLoad,
 )
 from ..ids import EndpointId
 from .inventory import Inventory
 
 ANNOUNCE_PERIOD_S = 0.4
-"""Interval of the holder's beacon.
+"""Interval of the holder's heartbeat.
 
-Other daemons check the lease after three missed beacons.
+Other daemons check the lease after three missed heartbeats.
 """
 FULL_ANNOUNCE_PERIOD_S = 5.0
 """Interval of full announcements, for daemons that have just started."""
@@ -42,14 +42,14 @@
         self,
         core: Application,
         table: EndpointTable,
-        send: Callable[[PlacementNews | PlacerBeacon], None],
+        send: Callable[[PlacementUpdate | PlacerHeartbeat], None],
     ) -> None:
         self._core = core
         self._table = table
         self._send = send
         self._announced: dict[EndpointId, EndpointPlacement] = {}
         self._full_announced_s = float("-inf")
-        self._beacon_sent_s = float("-inf")
+        self._heartbeat_sent_s = float("-inf")
 
     def reset(self) -> None:
         """Make the next announcement a full one.
@@ -69,10 +69,10 @@
         now_s = self._core.clock()
         daemon = self._core.daemon_id
         placements = self._changed(inventories)
-        self._send(PlacementNews(daemon, term, placements, loads, queued))
-        if now_s - self._beacon_sent_s >= ANNOUNCE_PERIOD_S:
-            self._beacon_sent_s = now_s
-            self._send(PlacerBeacon(daemon, term))
+        self._send(PlacementUpdate(daemon, term, placements, loads, queued))
+        if now_s - self._heartbeat_sent_s >= ANNOUNCE_PERIOD_S:
+            self._heartbeat_sent_s = now_s
+            self._send(PlacerHeartbeat(daemon, term))
 
     def _changed(self, inventories: Iterable[Inventory]) -> list[EndpointPlacement]:
         """Return placements that differ from the last announced ones."""
--- a/chutelink/placing/change_tracker.py
+++ b/chutelink/placing/change_tracker.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Mapping
 
-from ..entry.news import PendingLoad, QueuedLoad
+from ..entry.messages import PendingLoad, QueuedLoad
 from ..entry.pending import PendingTable
 from ..ids import AdapterName, EndpointId, ModelName, ServiceName
 from .changes import Change
--- a/chutelink/placing/inventory.py
+++ b/chutelink/placing/inventory.py
@@ -133,7 +133,7 @@
         """Number of occupied adapter slots."""
         return sum(len(adapters) for adapters in self.models.values())
 
-    def take_report(self, report: EndpointReport, now_s: float) -> None:
+    def apply_report(self, report: EndpointReport, now_s: float) -> None:
         """Apply a report, unless it predates the latest known order.
 
         Reports of a previous process are ignored as well. If reports keep showing fewer
--- a/chutelink/placing/lease.py
+++ b/chutelink/placing/lease.py
@@ -16,7 +16,7 @@
 from mode import Service
 
 from ..core import Application
-from ..entry.news import LeaseYield
+from ..entry.messages import LeaseYield
 from ..exceptions import (
     LeaseNotHeld,
     PlatformUnavailable,
@@ -24,7 +24,7 @@
     WriteOutcomeUnknown,
 )
 from ..ids import NO_ERA, BootId, DaemonId, WriteId, make_id
-from ..store import Check, Row, Transaction, WatchedTable, Write, decode_value
+from ..store import Check, Row, Transaction, WatchableTable, Write, decode_value
 from .lease_row import (
     KEY_LEASE,
     LeasePhase,
@@ -44,9 +44,9 @@
 RENEW_PERIOD_S = 0.8
 TICK_S = 0.1
 HOLDER_TIMEOUT_S = 1.3
-"""Time without a beacon from the holder after which other daemons read the row.
+"""Time without a heartbeat from the holder after which other daemons read the row.
 
-The holder sends a beacon every 0.4 s.
+The holder sends a heartbeat every 0.4 s.
 """
 RANK_DELAY_S = 0.3
 """Additional delay per rank, so that few daemons contend at the same time."""
@@ -60,7 +60,7 @@
     ----------
     core : Application
         The daemon's shared services.
-    table : WatchedTable
+    table : WatchableTable
         The table that contains the lease's row.
     rank : callable
         Returns this daemon's rank among the live daemons.
@@ -73,7 +73,7 @@
     def __init__(
         self,
         core: Application,
-        table: WatchedTable,
+        table: WatchableTable,
         rank: Callable[[], int],
         holder_gap_s: float,
         send: Callable[[LeaseYield], None],
@@ -141,10 +141,10 @@
             if daemon != self._core.daemon_id and term > self.term:
                 self._lose("another_holder", term)
 
-    def take_yield(self, news: LeaseYield) -> None:
+    def note_yield(self, message: LeaseYield) -> None:
         """Record that the holder has stopped sending orders."""
-        if news.term >= self.term and news.daemon != self._core.daemon_id:
-            self._yielded = news
+        if message.term >= self.term and message.daemon != self._core.daemon_id:
+            self._yielded = message
             self._yielded_s = self._core.clock()
 
     @Service.task
@@ -189,7 +189,7 @@
         return now_s - self._holder_heard_s > timeout_s + rank_delay_s
 
     def _has_yielded(self) -> bool:
-        """Return whether the holder has yielded and sent no beacon since."""
+        """Return whether the holder has yielded and sent no heartbeat since."""
         return self._yielded is not None and self._yielded_s >= self._holder_heard_s
 
     async def _async_maintain(self) -> None:
--- a/chutelink/placing/orders.py
+++ b/chutelink/placing/orders.py
@@ -38,7 +38,7 @@
 
 def publish_models(table: EndpointTable, inventory: Inventory) -> None:
     """Route requests to an endpoint for what it holds now."""
-    table.take_models(
+    table.update_models(
         inventory.endpoint,
         inventory.born_ms,
         inventory.sequence,
@@ -101,7 +101,7 @@
                 in_memory=",".join(report.in_memory),
                 on_disk=",".join(report.on_disk),
             )
-        inventory.take_report(report, self._core.clock())
+        inventory.apply_report(report, self._core.clock())
         if not inventory.is_busy:
             publish_models(self._table, inventory)
 
--- a/chutelink/placing/placer.py
+++ b/chutelink/placing/placer.py
@@ -11,7 +11,7 @@
 from ..entry.config import EngineSpec, RoutingConfig
 from ..entry.demand import DemandTable
 from ..entry.endpoints import Endpoint, EndpointTable
-from ..entry.news import PlacementNews, PlacerBeacon
+from ..entry.messages import PlacementUpdate, PlacerHeartbeat
 from ..entry.pending import PendingTable
 from ..exceptions import ChutelinkError
 from ..ids import EndpointId, ServiceName
@@ -84,7 +84,7 @@
         health: HealthTable,
         pending: PendingTable,
         policy: PlacementPolicy,
-        send: Callable[[PlacementNews | PlacerBeacon], None],
+        send: Callable[[PlacementUpdate | PlacerHeartbeat], None],
     ) -> None:
         super().__init__()
         self._core = core
@@ -97,7 +97,7 @@
         self._announcer = Announcer(core, table, send)
         self._inventories: dict[EndpointId, Inventory] = {}
         self._tracker = ChangeTracker(pending)
-        self.paces = ColdLoadLimiters(core, pending)
+        self.cold_load_limiters = ColdLoadLimiters(core, pending)
         self._announced_s = float("-inf")
         self._wake = asyncio.Event()
         self._decline_log = DeclineLog(core)
@@ -110,7 +110,7 @@
         """Trigger the next planning pass immediately."""
         self._wake.set()
 
-    def doubt(self, endpoints: list[EndpointId]) -> None:
+    def recheck_endpoints(self, endpoints: list[EndpointId]) -> None:
         """Poll endpoints that other daemons can't reach, unless just polled."""
         now_s = self._core.clock()
         for endpoint in endpoints:
@@ -152,7 +152,7 @@
         self._term = self._lease.term
         self._inventories.clear()
         self._tracker.clear()
-        self.paces.clear()
+        self.cold_load_limiters.clear()
         self._announcer.reset()
 
     def _engine_of(self, service: ServiceName) -> EngineSpec | None:
@@ -212,7 +212,7 @@
         if not sites or not all(site.inventory.is_known for site in sites):
             # Models on endpoints that have not reported would be loaded again.
             return
-        limiter = self.paces.get(
+        limiter = self.cold_load_limiters.get(
             service,
             engine.cold_loads_per_s,
             is_first_term=self._term == FIRST_TERM,
--- a/chutelink/placing/planner.py
+++ b/chutelink/placing/planner.py
@@ -122,7 +122,7 @@
         if self._residency.is_delayed(model):
             return True
         is_asked = demand.asks(model, now_s) >= COLD_LOAD_MIN_REQUESTS
-        return is_asked or demand.has_patient(model, now_s)
+        return is_asked or demand.can_wait_for_cold_load(model, now_s)
 
     def add_second_replica(self, model: ModelName) -> None:
         """Load a second replica of a model that is or will be in high demand.
--- a/chutelink/platform/adapter.py
+++ b/chutelink/platform/adapter.py
@@ -10,23 +10,23 @@
 from ..const import KEY_ROUTING_CONFIG, TABLE_ENDPOINTS
 from ..entry.adapter import Handler, PlatformAdapter
 from ..entry.config import RoutingConfig
-from ..entry.dialect import Dialect
 from ..entry.directory import Directory
 from ..entry.endpoints import EndpointRecord
+from ..entry.headers import HeaderCodec
 from ..placing.inventory import EngineClient
 from ..settings import PlatformSection
-from ..store import WatchedTable
+from ..store import WatchableTable
 from ..store.http import ReadRetry
 from .configuration import decode_config
 from .customers import hash_keys
 from .endpoints import compact_registration, decode_registration
 from .engine import HttpEngineClient
-from .headers import PlatformDialect
+from .headers import PlatformHeaderCodec
 from .http import make_directory_handler, make_ready_handler
 from .store import async_setup_store
 
 
-class PreparedMachines(PlatformAdapter):
+class PreparedMachinesAdapter(PlatformAdapter):
     """Creates the components that use the prepared machines' protocols."""
 
     def make_table(
@@ -34,7 +34,7 @@
         session: aiohttp.ClientSession,
         settings: PlatformSection,
         on_retry: Callable[[ReadRetry], None],
-    ) -> WatchedTable:
+    ) -> WatchableTable:
         """Return the client of the table service."""
         return async_setup_store(session, settings, on_retry)
 
@@ -42,9 +42,9 @@
         """Return the client for endpoint reports and orders."""
         return HttpEngineClient(session)
 
-    def make_dialect(self) -> Dialect:
+    def make_header_codec(self) -> HeaderCodec:
         """Return the codec for the headers of callers and endpoints."""
-        return PlatformDialect()
+        return PlatformHeaderCodec()
 
     def decode_config(self, value: Any) -> RoutingConfig:
         """Decode the routing configuration from its row value."""
--- a/chutelink/platform/customers.py
+++ b/chutelink/platform/customers.py
@@ -70,10 +70,10 @@
 def _check_keys(keys: Any) -> str:
     """Return a description of the first invalid key, without its text, or ""."""
     if not isinstance(keys, list):
-        return "keys must be a list"
+        return "keys are not a list"
     for index, key in enumerate(keys):
         if not isinstance(key, str):
-            return f"key {index} is not a string"
+            return f"key {index} is not text"
         if not key.strip():
             return f"key {index} is empty"
         if len(key.encode("utf-8", "surrogateescape")) > MAX_KEY_BYTES:
--- a/chutelink/platform/headers.py
+++ b/chutelink/platform/headers.py
@@ -9,11 +9,11 @@
 
 from ..const import HEADER_RETRY_AFTER
 from ..customers.keys import HEADER_KEY
-from ..entry.dialect import (
+from ..entry.headers import (
     AnswerKind,
-    Dialect,
     Dispatch,
     EndpointSignals,
+    HeaderCodec,
     PromptPart,
     RequestMeta,
 )
@@ -112,7 +112,7 @@
         return None
 
 
-class PlatformDialect(Dialect):
+class PlatformHeaderCodec(HeaderCodec):
     """Reads and writes the headers of the prepared machines' protocols."""
 
     def decode_request(self, headers: CIMultiDictProxy[str]) -> RequestMeta | None:
--- a/chutelink/platform/store.py
+++ b/chutelink/platform/store.py
@@ -19,8 +19,8 @@
 )
 from ..ids import NO_ERA, StoreEra, WriteId
 from ..settings import PlatformSection
-from ..store import UNREADABLE, Commit, Row, RowPage, Transaction, WatchedTable, Write
-from ..store.http import Answer, HttpCaller, ReadRetry
+from ..store import UNREADABLE, Commit, Row, RowPage, Transaction, WatchableTable, Write
+from ..store.http import PlatformServiceClient, ReadRetry, ServiceResponse
 
 MS_PER_S = 1000
 HEADER_ERA = "Store-Era"
@@ -72,9 +72,9 @@
     value: Any
 
 
-def _decode_era(answer: Answer) -> StoreEra:
-    """Return the store era of an answer; raise ValueError if it is not a number."""
-    return StoreEra(int(answer.headers.get(HEADER_ERA, NO_ERA)))
+def _decode_era(response: ServiceResponse) -> StoreEra:
+    """Return the store era of a response; raise ValueError if it is not a number."""
+    return StoreEra(int(response.headers.get(HEADER_ERA, NO_ERA)))
 
 
 def _split_key(key: str) -> tuple[str, str]:
@@ -103,10 +103,10 @@
     return Row(key, row.ver, WriteId(own.write_id), own.value)
 
 
-class StoreTable(WatchedTable):
+class StoreTable(WatchableTable):
     """Rows ``TABLE/KEY`` of the store's tables, all in the empty partition."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, caller: PlatformServiceClient) -> None:
         self._caller = caller
 
     async def async_read(self, prefix: str, after_version: int = 0) -> RowPage:
@@ -118,10 +118,10 @@
         rows: list[_WireRow] = []
         first: RowPage | None = None
         while True:
-            answer = await self._caller.async_call(
+            response = await self._caller.async_call(
                 "GET", "/api/rows-get", step="table.read", params=params, is_read=True
             )
-            page, wire = self._decode_page(answer, "table.read")
+            page, wire = self._decode_page(response, "table.read")
             # Pages are snapshots of different moments. Rows of the first page that
             # change later are reported by a watch from the first page's version.
             first = first or page
@@ -149,7 +149,7 @@
             "after": str(after_version),
             "wait_ms": str(round(wait_s * MS_PER_S)),
         }
-        answer = await self._caller.async_call(
+        response = await self._caller.async_call(
             "GET",
             "/api/rows-feed",
             step="table.watch",
@@ -158,45 +158,47 @@
             is_read=True,
             wait_s=wait_s,
         )
-        if answer.status == HTTP_GONE:
+        if response.status == HTTP_GONE:
             raise HistoryLost(
                 "store no longer keeps the changes",
                 step="table.watch",
                 peer=self._caller.peer,
             )
-        page, wire = self._decode_page(answer, "table.watch")
+        page, wire = self._decode_page(response, "table.watch")
         rows = [_decode_row(row) for row in wire.rows]
         return msgspec.structs.replace(page, rows=rows)
 
     async def async_transact(self, transaction: Transaction) -> Commit:
         """Commit a transaction."""
         step = "table.transact"
-        answer = await self._caller.async_call(
+        response = await self._caller.async_call(
             "POST",
             "/api/rows-tx",
             step=step,
             body=msgspec.json.encode(_encode_transaction(transaction)),
             is_conditional_write=True,
         )
-        if answer.status == HTTP_PRECONDITION_FAILED:
+        if response.status == HTTP_PRECONDITION_FAILED:
             key = transaction.checks[0].key if transaction.checks else ""
             raise TransactionConflict(key, step=step, peer=key)
         try:
-            version = msgspec.json.decode(answer.body, type=_WirePage).ver
-            return Commit(version, _decode_era(answer))
+            version = msgspec.json.decode(response.body, type=_WirePage).ver
+            return Commit(version, _decode_era(response))
         except (msgspec.MsgspecError, ValueError) as error:
             raise WriteOutcomeUnknown(
                 str(error), step=step, peer=self._caller.peer
             ) from error
 
-    def _decode_page(self, answer: Answer, step: str) -> tuple[RowPage, _WirePage]:
+    def _decode_page(
+        self, response: ServiceResponse, step: str
+    ) -> tuple[RowPage, _WirePage]:
         """Return the page's metadata without rows, and the page in wire format."""
-        if answer.status != HTTP_OK:
-            message = f"status {answer.status}"
+        if response.status != HTTP_OK:
+            message = f"status {response.status}"
             raise PlatformUnavailable(message, step=step, peer=self._caller.peer)
         try:
-            wire = msgspec.json.decode(answer.body, type=_WirePage)
-            era = _decode_era(answer)
+            wire = msgspec.json.decode(response.body, type=_WirePage)
+            era = _decode_era(response)
         except (msgspec.MsgspecError, ValueError) as error:
             raise PlatformUnavailable(
                 str(error), step=step, peer=self._caller.peer
@@ -242,4 +244,6 @@
     on_retry: Callable[[ReadRetry], None] | None = None,
 ) -> StoreTable:
     """Return the store client with a timeout, a circuit breaker and a rate limit."""
-    return StoreTable(HttpCaller(session, settings, "store", STATUSES, on_retry))
+    return StoreTable(
+        PlatformServiceClient(session, settings, "store", STATUSES, on_retry)
+    )
--- a/chutelink/quarantine/news.py
+++ b/chutelink/quarantine/messages.py
@@ -20,16 +20,16 @@
     noticed_ago_s: float = 0.0
 
 
-class EndingNews(msgspec.Struct, frozen=True, array_like=True, tag="endings"):
+class EndingsMessage(msgspec.Struct, frozen=True, array_like=True, tag="endings"):
     """Reports the runs of one daemon during which endpoints terminated."""
 
     runs: list[EndedRun]
 
 
-class ClearedNews(msgspec.Struct, frozen=True, array_like=True, tag="cleared"):
+class ClearedMessage(msgspec.Struct, frozen=True, array_like=True, tag="cleared"):
     """Reports that a request ran successfully or was released by an operator."""
 
     fingerprint: Fingerprint
 
 
-QuarantineMessage = EndingNews | ClearedNews
+QuarantineMessage = EndingsMessage | ClearedMessage
--- a/chutelink/quarantine/keeper.py
+++ b/chutelink/quarantine/persistence.py
@@ -31,7 +31,7 @@
 PREFIX_HOLDS = f"{TABLE_QUARANTINE}/"
 
 
-class QuarantineKeeper(Service):
+class QuarantinePersistence(Service):
     """Writes holds to the store and applies those that are stored there.
 
     Parameters
@@ -96,7 +96,7 @@
         self._saved = {Fingerprint(key.removeprefix(PREFIX_HOLDS)) for key in keys}
         self._changed.set()
 
-    def take_row(self, key: str, value: Any, *, is_restored: bool = False) -> None:
+    def apply_row(self, key: str, value: Any, *, is_restored: bool = False) -> None:
         """Apply a row of the table; a value of None means that it was removed.
 
         A row of a restored, older store doesn't override newer knowledge, which is
--- a/chutelink/quarantine/judge.py
+++ b/chutelink/quarantine/policy.py
@@ -10,11 +10,11 @@
 from .model import Hold, Suspect, Verdict
 
 
-class Judge(ABC):
+class QuarantinePolicy(ABC):
     """Decides from a request's endings whether it may run."""
 
     @abstractmethod
-    def is_guilty(self, suspect: Suspect) -> bool:
+    def should_hold(self, suspect: Suspect) -> bool:
         """Return whether a suspect must be held from now on."""
 
     @abstractmethod
@@ -30,14 +30,14 @@
         """Return whether a request may run now."""
 
 
-class EndingCount(Judge):
+class EndingCountPolicy(QuarantinePolicy):
     """Holds a request after several endpoints terminated during its runs.
 
     A successful run clears a request, so that content that many callers send isn't
     held merely because it was running when endpoints terminated.
     """
 
-    def is_guilty(self, suspect: Suspect) -> bool:
+    def should_hold(self, suspect: Suspect) -> bool:
         """Return whether the suspect has reached the threshold of endings."""
         return len(suspect.endings) >= ENDINGS_TO_HOLD
 
--- a/chutelink/quarantine/service.py
+++ b/chutelink/quarantine/service.py
@@ -22,9 +22,9 @@
 )
 from .endinglog import EndingLog
 from .fingerprint import RequestContent, make_fingerprint
-from .judge import EndingCount, Judge
+from .messages import ClearedMessage, EndedRun, EndingsMessage, QuarantineMessage
 from .model import BrokenRun, Evidence, Hold, Verdict
-from .news import ClearedNews, EndedRun, EndingNews, QuarantineMessage
+from .policy import EndingCountPolicy, QuarantinePolicy
 from .probe import ConnectProbe, EndingProbe
 from .table import SuspectTable
 from .verifier import EndingVerifier
@@ -49,7 +49,7 @@
         The owning application.
     probe : EndingProbe, optional
         Distinguishes a terminated endpoint from a broken connection.
-    policy : Judge, optional
+    policy : QuarantinePolicy, optional
         Decides when requests are held and for how long.
     unix_clock : callable, default=time.time
         Unix time in seconds, for holds that survive daemon restarts.
@@ -68,17 +68,17 @@
         self,
         core: Application,
         probe: EndingProbe | None = None,
-        policy: Judge | None = None,
+        policy: QuarantinePolicy | None = None,
         unix_clock: Callable[[], float] = time.time,
     ) -> None:
         self._core = core
         self._verifier = EndingVerifier(core, probe or ConnectProbe(), self.note_ended)
         self._endings = EndingLog()
         self._unsent: list[EndedRun] = []
-        self.policy = policy or EndingCount()
+        self.policy = policy or EndingCountPolicy()
         self.unix_clock = unix_clock
         self.table = SuspectTable(self.policy)
-        self.send: Callable[[QuarantineMessage], None] = lambda news: None
+        self.send: Callable[[QuarantineMessage], None] = lambda message: None
         self.on_held: Callable[[Fingerprint], None] = lambda fingerprint: None
         self.on_cleared: Callable[[Fingerprint], None] = lambda fingerprint: None
         self.async_claim_trial: Callable[[Fingerprint], Awaitable[bool]] = (
@@ -112,9 +112,9 @@
         """Handle the registration of a new process of an endpoint."""
         self._verifier.note_restarted(incarnation)
 
-    def note_vanished(self, incarnation: Incarnation) -> None:
+    def note_registration_lapsed(self, incarnation: Incarnation) -> None:
         """Handle a lapsed registration of a ready endpoint."""
-        self._verifier.note_vanished(incarnation)
+        self._verifier.note_registration_lapsed(incarnation)
 
     def forget_endpoint(self, endpoint: EndpointId) -> None:
         """Remove the termination history of a removed endpoint."""
@@ -129,7 +129,7 @@
         if not self.clear(fingerprint, reason):
             return False
         self.on_cleared(fingerprint)
-        self.send(ClearedNews(fingerprint))
+        self.send(ClearedMessage(fingerprint))
         return True
 
     def clear(self, fingerprint: Fingerprint, reason: str) -> bool:
@@ -153,10 +153,10 @@
         if self.table.put_hold(fingerprint, hold, self._core.clock()):
             self._log_hold(fingerprint, hold, "store")
 
-    def take_endings(self, news: EndingNews, source: str) -> None:
+    def apply_endings(self, message: EndingsMessage, source: str) -> None:
         """Apply the runs that another daemon reports for endpoint terminations."""
         now_s = self._core.clock()
-        for run in news.runs:
+        for run in message.runs:
             ending = self._endings.resolve(run.ending, now_s - run.noticed_ago_s, now_s)
             self._add_ending(EndedRun(run.fingerprint, run.about, ending), source)
 
@@ -187,7 +187,7 @@
 
     def _send_endings(self) -> None:
         runs, self._unsent = self._unsent, []
-        self.send(EndingNews(runs))
+        self.send(EndingsMessage(runs))
 
     def _add_ending(self, run: EndedRun, source: str) -> bool:
         is_held = self.table.add_ending(
--- a/chutelink/quarantine/table.py
+++ b/chutelink/quarantine/table.py
@@ -4,8 +4,8 @@
 
 from ..ids import Fingerprint
 from .const import MAX_HOLDS, MAX_SUSPECTS, SUSPECT_RETENTION_S
-from .judge import Judge
 from .model import Ending, Hold, Suspect, Verdict
+from .policy import QuarantinePolicy
 
 
 class SuspectTable:
@@ -16,11 +16,11 @@
 
     Parameters
     ----------
-    policy : Judge
+    policy : QuarantinePolicy
         Decides when requests are held and for how long.
     """
 
-    def __init__(self, policy: Judge) -> None:
+    def __init__(self, policy: QuarantinePolicy) -> None:
         self._policy = policy
         self._free: dict[Fingerprint, Suspect] = {}
         self._held: dict[Fingerprint, Suspect] = {}
@@ -67,7 +67,7 @@
         is_new = False
         if ending not in row.endings:
             row.endings += (ending,)
-            is_new = row.hold is None and self._policy.is_guilty(row)
+            is_new = row.hold is None and self._policy.should_hold(row)
         if is_new:
             row.hold = self._policy.begin_hold(row, unix_s)
             row.held_s = now_s
--- a/chutelink/quarantine/verifier.py
+++ b/chutelink/quarantine/verifier.py
@@ -87,7 +87,7 @@
         self._restarted[incarnation] = self._core.clock()
         self._confirm(incarnation, Evidence.RESTARTED)
 
-    def note_vanished(self, incarnation: Incarnation) -> None:
+    def note_registration_lapsed(self, incarnation: Incarnation) -> None:
         """Handle a lapsed registration of a ready endpoint.
 
         It is evidence only if the endpoint didn't answer the probe either: some
--- a/chutelink/relaying/backpressure.py
+++ b/chutelink/relaying/backpressure.py
@@ -6,8 +6,8 @@
 
 from ..core import Application
 from ..entry.endpoints import Endpoint, EndpointTable
-from ..limits.const import MAX_DELAY_S, MIN_BACK_S
-from ..limits.permits import PermitDesk
+from ..limits.const import MAX_DELAY_S, MIN_RETRY_AFTER_S
+from ..limits.permits import PermitManager
 from .exchange import Exchange
 
 SEND_MARGIN_S = 0.1
@@ -26,12 +26,12 @@
         The application that owns this object.
     table : EndpointTable
         The endpoints.
-    permits : PermitDesk
+    permits : PermitManager
         Grants permits.
     """
 
     def __init__(
-        self, core: Application, table: EndpointTable, permits: PermitDesk
+        self, core: Application, table: EndpointTable, permits: PermitManager
     ) -> None:
         self._core = core
         self._table = table
@@ -70,7 +70,7 @@
             return True
         record = row.record
         max_delay_s = self._max_delay_s(exchange, self._core.clock())
-        permit = await self._permits.async_ask(
+        permit = await self._permits.async_request_permit(
             record.id, record.born_ms, limit.rate_per_s, max_delay_s
         )
         limit.next_send_s = self._core.clock() + permit.delay_s
@@ -86,10 +86,10 @@
         don't retry at the same time.
         """
         now_s = self._core.clock()
-        available_from_s = [row.open_from_s(now_s) for row in rows]
+        available_from_s = [row.accepts_from_s(now_s) for row in rows]
         if not available_from_s or None in available_from_s:
             return None
-        wait_s = max(MIN_BACK_S, min(available_from_s) - now_s)
+        wait_s = max(MIN_RETRY_AFTER_S, min(available_from_s) - now_s)
         return self._core.rng.uniform(wait_s, 2 * wait_s)
 
     def _max_delay_s(self, exchange: Exchange, now_s: float) -> float:
--- a/chutelink/relaying/exchange.py
+++ b/chutelink/relaying/exchange.py
@@ -7,12 +7,12 @@
 import msgspec
 from multidict import CIMultiDict
 
-from ..customers.gate import Admission
+from ..customers.access import Admission
 from ..entry.config import Route, ServiceSpec
-from ..entry.dialect import RequestMeta
+from ..entry.headers import RequestMeta
 from ..ids import EndpointId, Fingerprint, ServiceName
-from ..watching.followed import Knowledge
-from .routing import Candidate
+from ..watching.table_state import TableFreshness
+from .routing import RoutingRequest
 
 LEAST_URGENT_STEP = 9
 OBJECTIVE_S_PER_URGENCY_STEP = 1.5
@@ -43,7 +43,7 @@
     body: bytes
     started_s: float
     deadline_s: float
-    candidate: Candidate
+    candidate: RoutingRequest
     fingerprint: Fingerprint = Fingerprint("")
     caller: str = ""
     admission: Admission = msgspec.field(default_factory=Admission)
@@ -54,7 +54,7 @@
     first_event_s: float | None = None
     expected_s: float | None = None
     longest_pause_s: float = 0.0
-    knowledge: Knowledge | None = None
+    knowledge: TableFreshness | None = None
 
     @property
     def is_repeatable(self) -> bool:
--- a/chutelink/relaying/dispatching.py
+++ b/chutelink/relaying/exchange_dispatcher.py
@@ -9,107 +9,109 @@
 
 from ..core import Application
 from ..entry.config import Route
-from ..entry.dialect import Dialect, Dispatch, RequestMeta
 from ..entry.endpoints import Endpoint, EndpointTable
-from ..entry.loads import LoadBook
-from ..entry.news import PromptNews
+from ..entry.headers import Dispatch, HeaderCodec, RequestMeta
+from ..entry.load_tracker import LoadTracker
+from ..entry.messages import PromptNotice
 from ..entry.pending import PendingTable
 from ..gateway.refusals import Refusal, unavailable
 from ..ids import DaemonId, FailureDomainName, model_ref
 from ..learning.durations import DurationTable
 from ..learning.health import HealthTable
+from ..learning.prefill import PrefillTable
 from ..learning.prefixes import PrefixTable, hash_chain
-from ..learning.reading import ReadingTable
 from ..learning.speeds import SpeedTable
-from ..limits.permits import PermitDesk
+from ..limits.permits import PermitManager
 from ..quarantine.service import Quarantine
-from ..watching.followed import Knowledge
+from ..watching.table_state import TableFreshness
 from .backpressure import SEND_MARGIN_S, BackPressureGate
 from .exchange import Exchange, urgency_of
+from .model_wait import MAX_RETRY_DELAY_SHARE
 from .model_waiter import ModelWaiter, can_be_loaded
 from .quarantine_gate import QuarantineGate
-from .retries import RetryShare
-from .routing import Candidate, RoutingPolicy
+from .retry_budget import RetryBudgetShare
+from .routing import RoutingPolicy, RoutingRequest
 from .signals import SignalReader
 from .upstream import EndpointCall
-from .waiting import RETRY_SHARE
 
-DEFAULT_RETRY_S = 0.5
+DEFAULT_RETRY_DELAY_S = 0.5
 MIN_RETRY_DELAY_S = 0.2
 
 
-class Exchanges:
+class ExchangeDispatcher:
     """Selects endpoints for requests, and holds the tables that this uses.
 
     Parameters
     ----------
     core : Application
         The application that owns this object.
-    dialect : Dialect
+    header_codec : HeaderCodec
         Decodes and encodes headers.
-    table, health, prefixes, speeds, durations, reading, pending, loads, retries
-        State of endpoints, updates for other daemons, and the retry budget.
+    table, health, prefixes, speeds, durations, prefill_table, pending, loads
+        State of endpoints, and updates for other daemons.
+    retry_budget : RetryBudgetShare
+        Limits reruns after failures.
     policy : RoutingPolicy
         Chooses among the eligible endpoints.
     quarantine : Quarantine
         Identifies requests by content, and tracks those that crash endpoints.
-    permits : PermitDesk
+    permits : PermitManager
         Grants permits for endpoints with a rate limit.
     """
 
     def __init__(
         self,
         core: Application,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         table: EndpointTable,
         health: HealthTable,
         prefixes: PrefixTable,
         speeds: SpeedTable,
         durations: DurationTable,
-        reading: ReadingTable,
+        prefill_table: PrefillTable,
         pending: PendingTable,
-        loads: LoadBook,
-        retries: RetryShare,
+        loads: LoadTracker,
+        retry_budget: RetryBudgetShare,
         policy: RoutingPolicy,
         quarantine: Quarantine,
-        permits: PermitDesk,
+        permits: PermitManager,
     ) -> None:
         self.core = core
-        self.dialect = dialect
+        self.header_codec = header_codec
         self.table = table
         self.health = health
         self.prefixes = prefixes
         self.speeds = speeds
         self.durations = durations
-        self.reading = reading
+        self.prefill_table = prefill_table
         self.pending = pending
         self.loads = loads
-        self.retries = retries
+        self.retry_budget = retry_budget
         self._policy = policy
         self.quarantine = quarantine
         self.gate = QuarantineGate(quarantine)
         self._model_waiter = ModelWaiter(core, table, speeds, pending, loads)
-        self.signals = SignalReader(core, dialect, table, loads)
+        self.signals = SignalReader(core, header_codec, table, loads)
         self._back_pressure = BackPressureGate(core, table, permits)
         self.is_stopping = False
-        self.on_prompt: Callable[[PromptNews], None] = lambda _: None
-        self.on_second_run: Callable[[Exchange], None] = lambda _: None
+        self.on_prompt: Callable[[PromptNotice], None] = lambda _: None
+        self.on_rerun: Callable[[Exchange], None] = lambda _: None
         """Called when a request that may have run is sent again."""
-        self.knowledge: Callable[[], Knowledge | None] = lambda: None
+        self.knowledge: Callable[[], TableFreshness | None] = lambda: None
 
     def stop_waiting(self) -> None:
         """Refuse requests that wait for a model, also later ones; used on shutdown."""
         self.is_stopping = self._model_waiter.is_stopping = True
         self.pending.signal()
 
-    def make_candidate(self, meta: RequestMeta, route: Route) -> Candidate:
+    def make_routing_request(self, meta: RequestMeta, route: Route) -> RoutingRequest:
         """Return the properties of a request that endpoint selection uses."""
         tokens = 0
         totals = []
         for part in meta.prompt:
             tokens += part.tokens
             totals.append(tokens)
-        return Candidate(
+        return RoutingRequest(
             model=meta.model,
             adapter=meta.adapter,
             prompt_tokens=meta.prompt_tokens,
@@ -122,7 +124,7 @@
     def note_arrival(self, exchange: Exchange) -> None:
         """Count a request for the retry budget and for placement."""
         now_s = self.core.clock()
-        self.retries.note_request(exchange.service.name, now_s)
+        self.retry_budget.note_request(exchange.service.name, now_s)
         if exchange.service.engine is not None and exchange.meta.model:
             meta = exchange.meta
             read_s = self.speeds.read_s(meta.model, meta.prompt_tokens)
@@ -142,7 +144,7 @@
         self.gate.check(exchange)
         if exchange.left_s(self.core.clock()) <= 0:
             # The caller has given up. Also happens after a suspension of the VM.
-            raise unavailable("the time limit was reached", DEFAULT_RETRY_S)
+            raise unavailable("the time limit was reached", DEFAULT_RETRY_DELAY_S)
         return row
 
     async def _async_find_endpoint(self, exchange: Exchange) -> Endpoint:
@@ -156,12 +158,12 @@
             raise
         if not await self._back_pressure.async_admit(exchange, row):
             self._check_back_pressure(exchange)
-            raise unavailable("no endpoint is ready", DEFAULT_RETRY_S)
+            raise unavailable("no endpoint is ready", DEFAULT_RETRY_DELAY_S)
         return row
 
     async def _async_wait_for_model(self, exchange: Exchange) -> Endpoint:
         if not can_be_loaded(exchange):
-            raise unavailable("no endpoint is ready", DEFAULT_RETRY_S)
+            raise unavailable("no endpoint is ready", DEFAULT_RETRY_DELAY_S)
         return await self._model_waiter.async_wait(exchange, self._choose)
 
     def _check_back_pressure(self, exchange: Exchange) -> None:
@@ -183,7 +185,7 @@
         retry_delay_s = self._back_pressure.retry_delay_s(
             self._reachable_rows(exchange)
         )
-        return DEFAULT_RETRY_S if retry_delay_s is None else retry_delay_s
+        return DEFAULT_RETRY_DELAY_S if retry_delay_s is None else retry_delay_s
 
     async def _async_find_available(self, exchange: Exchange) -> Endpoint | None:
         """Return an endpoint that accepts the request, None if none does in time."""
@@ -223,15 +225,15 @@
         read_s = self._policy.uncached_read_s(row, exchange.candidate, now_s)
         read_s *= self.speeds.endpoint_factor(endpoint)
         max_pause_s = exchange.route.max_pause_s
-        return self.reading.room_in_s(endpoint, read_s, now_s, max_pause_s)
+        return self.prefill_table.prefill_delay_s(endpoint, read_s, now_s, max_pause_s)
 
     def note_prompt(self, exchange: Exchange, row: Endpoint, read_s: float) -> None:
         """Record that a prompt is sent, and announce it to the other daemons."""
         endpoint_read_s = read_s * self.speeds.endpoint_factor(row.record.id)
-        self.reading.note(row.record.id, endpoint_read_s, self.core.clock())
+        self.prefill_table.note(row.record.id, endpoint_read_s, self.core.clock())
         ref = model_ref(exchange.meta.model, exchange.meta.adapter)
         daemon = DaemonId(self.core.daemon.id)
-        self.on_prompt(PromptNews(daemon, row.record.id, ref, read_s))
+        self.on_prompt(PromptNotice(daemon, row.record.id, ref, read_s))
 
     def _check_backlog(self, exchange: Exchange) -> None:
         """Refuse a request that would be late even at the best endpoint.
@@ -256,7 +258,9 @@
         # After a mean stream duration the current streams have most likely ended.
         stream_s = self.durations.mean_s(exchange.meta.model)
         retry_delay_s = max(exchange.expected_s - due_s, stream_s, MIN_RETRY_DELAY_S)
-        retry_delay_s = min(retry_delay_s, RETRY_SHARE * exchange.left_s(now_s))
+        retry_delay_s = min(
+            retry_delay_s, MAX_RETRY_DELAY_SHARE * exchange.left_s(now_s)
+        )
         raise unavailable("endpoints are busy", retry_delay_s)
 
     def _reachable_rows(self, exchange: Exchange) -> list[Endpoint]:
@@ -303,7 +307,7 @@
             resume_after=exchange.resume_after,
             customer=customer.name if customer is not None else None,
         )
-        self.dialect.encode_dispatch(headers, dispatch)
+        self.header_codec.encode_dispatch(headers, dispatch)
         return EndpointCall(
             exchange.method,
             exchange.target,
@@ -319,8 +323,8 @@
             return False
         if exchange.is_trial or self.gate.is_quarantined(exchange):
             return False
-        if not self.retries.take(exchange.service.name, self.core.clock()):
+        if not self.retry_budget.take(exchange.service.name, self.core.clock()):
             return False
         if exchange.may_have_run:
-            self.on_second_run(exchange)
+            self.on_rerun(exchange)
         return True
--- a/chutelink/relaying/waiting.py
+++ b/chutelink/relaying/model_wait.py
@@ -14,7 +14,7 @@
 According to the operators, a longer wait without being served costs the caller more
 than a refusal. Messages between daemons and the placer take about 20 ms.
 """
-RETRY_SHARE = 1 / 3
+MAX_RETRY_DELAY_SHARE = 1 / 3
 """Upper bound of the Retry-After delay, as a share of the caller's remaining time."""
 LOAD_MARGIN_S = 0.1
 """How much later than announced a load usually completes."""
@@ -62,7 +62,7 @@
     return wait.now_s
 
 
-def back_in_s(wait: ModelWait) -> float:
+def model_retry_delay_s(wait: ModelWait) -> float:
     """Return the Retry-After delay of a refused request.
 
     If no load is in progress, the delay covers a load that starts now, even one from
@@ -96,4 +96,6 @@
     """Return whether a retry soon after the load would still be in time."""
     is_early = wait.now_s - wait.started_s < ANNOUNCEMENT_WAIT_SHARE * wait.objective_s
     retry_delay_s = ready_s + LOAD_MARGIN_S - wait.now_s
-    return is_early and retry_delay_s < RETRY_SHARE * (wait.last_s - wait.now_s)
+    return is_early and retry_delay_s < MAX_RETRY_DELAY_SHARE * (
+        wait.last_s - wait.now_s
+    )
--- a/chutelink/relaying/model_waiter.py
+++ b/chutelink/relaying/model_waiter.py
@@ -6,16 +6,16 @@
 
 from ..core import Application
 from ..entry.endpoints import Endpoint, EndpointTable
-from ..entry.loads import LoadBook
+from ..entry.load_tracker import LoadTracker
 from ..entry.pending import PendingTable
 from ..gateway.refusals import Refusal, unavailable
 from ..learning.speeds import SpeedTable
 from .exchange import Exchange
-from .waiting import (
+from .model_wait import (
     LOAD_MARGIN_S,
-    RETRY_SHARE,
+    MAX_RETRY_DELAY_SHARE,
     ModelWait,
-    back_in_s,
+    model_retry_delay_s,
     wait_until_s,
 )
 
@@ -33,7 +33,7 @@
         Prefill times of prompts.
     pending : PendingTable
         Loads in progress.
-    loads : LoadBook
+    loads : LoadTracker
         Collects the demand that is reported to the placer.
     """
 
@@ -43,7 +43,7 @@
         table: EndpointTable,
         speeds: SpeedTable,
         pending: PendingTable,
-        loads: LoadBook,
+        loads: LoadTracker,
     ) -> None:
         self._core = core
         self._table = table
@@ -116,7 +116,7 @@
         missing = "adapter" if self._is_base_model_loaded(exchange) else "model"
         is_loading = wait.ready_s is not None
         reason = "is being loaded" if is_loading else "is not loaded"
-        return unavailable(f"the {missing} {reason}", back_in_s(wait))
+        return unavailable(f"the {missing} {reason}", model_retry_delay_s(wait))
 
     def _has_unavailable_copy(self, exchange: Exchange) -> bool:
         """Return whether an endpoint with the model and adapter accepts nothing now."""
@@ -124,7 +124,8 @@
         now_s = self._core.clock()
         rows = self._table.of_service(exchange.service.name, now_s)
         return any(
-            row.open_from_s(now_s) is not None and row.holds(meta.model, meta.adapter)
+            row.accepts_from_s(now_s) is not None
+            and row.holds(meta.model, meta.adapter)
             for row in rows
         )
 
@@ -140,10 +141,10 @@
         It counts as patient: by then there is time for a load.
         """
         left_s = exchange.left_s(self._core.clock())
-        retry_delay_s = min(refusal.retry_after_s, RETRY_SHARE * left_s)
+        retry_delay_s = min(refusal.retry_after_s, MAX_RETRY_DELAY_SHARE * left_s)
         meta = exchange.meta
         self._loads.begin_wait(meta.model, meta.adapter, is_patient=True)
-        self._loads.keep_wait(meta.model, meta.adapter, retry_delay_s)
+        self._loads.extend_wait(meta.model, meta.adapter, retry_delay_s)
 
 
 def can_be_loaded(exchange: Exchange) -> bool:
--- a/chutelink/relaying/relay.py
+++ b/chutelink/relaying/relay.py
@@ -5,8 +5,8 @@
 from contextlib import contextmanager
 from enum import Enum
 
-from ..entry.dialect import AnswerKind
 from ..entry.endpoints import Endpoint
+from ..entry.headers import AnswerKind
 from ..exceptions import (
     ChutelinkError,
     ConnectionBroken,
@@ -16,9 +16,9 @@
 from ..gateway.refusals import Outcome, Refusal, unavailable, unknown_outcome
 from ..ids import model_ref
 from ..quarantine.model import BrokenRun, Evidence
-from .dispatching import Exchanges
 from .exchange import Exchange
-from .upstream import Upstream, WholeResponse
+from .exchange_dispatcher import ExchangeDispatcher
+from .upstream import BufferedResponse, Upstream
 
 FIRST_SERVER_ERROR_STATUS = 500
 FIRST_ATTEMPT_TIME_SHARE = 0.45
@@ -41,17 +41,17 @@
 
     Parameters
     ----------
-    dispatcher : Exchanges
+    dispatcher : ExchangeDispatcher
         Endpoint selection and its tables.
     upstream : Upstream
         Connections to endpoints.
     """
 
-    def __init__(self, dispatcher: Exchanges, upstream: Upstream) -> None:
+    def __init__(self, dispatcher: ExchangeDispatcher, upstream: Upstream) -> None:
         self._dispatcher = dispatcher
         self._upstream = upstream
 
-    async def async_whole(self, exchange: Exchange) -> WholeResponse:
+    async def async_relay_buffered(self, exchange: Exchange) -> BufferedResponse:
         """Return an endpoint's response, unchanged.
 
         Raises
@@ -59,7 +59,7 @@
         Refusal
             Its outcome is NOT_RUN only if no endpoint ran the request; else UNKNOWN.
         """
-        last: WholeResponse | None = None
+        last: BufferedResponse | None = None
         while True:
             row = await self.async_next_endpoint(exchange, last)
             if row is None:
@@ -76,7 +76,7 @@
                 return self._final_answer(exchange, last)
 
     async def async_next_endpoint(
-        self, exchange: Exchange, last: WholeResponse | None
+        self, exchange: Exchange, last: BufferedResponse | None
     ) -> Endpoint | None:
         """Return the next endpoint, or None to forward the last response."""
         try:
@@ -89,8 +89,8 @@
             raise
 
     def _final_answer(
-        self, exchange: Exchange, last: WholeResponse | None
-    ) -> WholeResponse:
+        self, exchange: Exchange, last: BufferedResponse | None
+    ) -> BufferedResponse:
         """Return the response to forward, or raise the refusal."""
         if last is not None:
             return last
@@ -106,7 +106,7 @@
 
     async def _async_attempt(
         self, exchange: Exchange, row: Endpoint
-    ) -> tuple[AttemptResult, WholeResponse | None]:
+    ) -> tuple[AttemptResult, BufferedResponse | None]:
         clock = self._dispatcher.core.clock
         sent_s = clock()
         call = self._dispatcher.make_call(exchange, row)
@@ -128,10 +128,10 @@
         return self.classify_answer(exchange, row, answer, clock() - sent_s), answer
 
     def classify_answer(
-        self, exchange: Exchange, row: Endpoint, answer: WholeResponse, took_s: float
+        self, exchange: Exchange, row: Endpoint, answer: BufferedResponse, took_s: float
     ) -> AttemptResult:
         """Classify a response and update the endpoint's health."""
-        kind = self._dispatcher.dialect.classify(
+        kind = self._dispatcher.header_codec.classify(
             answer.status, answer.headers, exchange.meta.id
         )
         if kind is AnswerKind.NOT_RUN:
--- a/chutelink/relaying/requestlog.py
+++ b/chutelink/relaying/request_log.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 
 from ..core import Application
-from ..customers.gate import Admission
+from ..customers.access import Admission
 from ..customers.quotas import QuotaVerdict
 from .exchange import Exchange
 
--- a/chutelink/relaying/retries.py
+++ b/chutelink/relaying/retry_budget.py
@@ -25,7 +25,7 @@
         return len(self._times)
 
 
-class RetryShare:
+class RetryBudgetShare:
     """One daemon's share of the retry budget of each service.
 
     Parameters
--- a/chutelink/relaying/routing.py
+++ b/chutelink/relaying/routing.py
@@ -19,7 +19,7 @@
 """Used for requests without an objective."""
 
 
-class Candidate(msgspec.Struct, frozen=True):
+class RoutingRequest(msgspec.Struct, frozen=True):
     """The properties of a request that endpoint selection uses.
 
     ``chain`` has a hash for each prefix of the prompt, ``chain_tokens`` the number of
@@ -41,15 +41,17 @@
 
     @abstractmethod
     def choose(
-        self, rows: list[Endpoint], request: Candidate, now_s: float
+        self, rows: list[Endpoint], request: RoutingRequest, now_s: float
     ) -> Endpoint | None:
         """Return the best endpoint, or None if ``rows`` is empty."""
 
-    def expected_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+    def expected_s(self, row: Endpoint, request: RoutingRequest, now_s: float) -> float:
         """Return the expected time to the first byte; 0 where it is unknown."""
         return 0.0
 
-    def uncached_read_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+    def uncached_read_s(
+        self, row: Endpoint, request: RoutingRequest, now_s: float
+    ) -> float:
         """Return the expected prefill time of the prompt; 0 where it is unknown."""
         return 0.0
 
@@ -58,7 +60,7 @@
     """Baseline policy: fewest requests in flight per batch slot."""
 
     def choose(
-        self, rows: list[Endpoint], request: Candidate, now_s: float
+        self, rows: list[Endpoint], request: RoutingRequest, now_s: float
     ) -> Endpoint | None:
         """Return the least loaded endpoint."""
         return min(
@@ -102,17 +104,19 @@
         self._durations = durations
 
     def choose(
-        self, rows: list[Endpoint], request: Candidate, now_s: float
+        self, rows: list[Endpoint], request: RoutingRequest, now_s: float
     ) -> Endpoint | None:
         """Return the endpoint with the least expected loss."""
-        usable = [row for row in rows if self._health.is_open(row.record.id, now_s)]
+        usable = [
+            row for row in rows if self._health.is_available(row.record.id, now_s)
+        ]
         return min(
             usable or rows,
             key=lambda row: (self._loss(row, request, now_s), row.record.id),
             default=None,
         )
 
-    def expected_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+    def expected_s(self, row: Endpoint, request: RoutingRequest, now_s: float) -> float:
         """Return the expected time to the first byte if the request doesn't fail."""
         if not request.model:
             queued = row.total_requests / max(1, row.record.slots)
@@ -128,7 +132,7 @@
         ahead = row.total_requests + 1 - slots
         return max(0, ahead) * self._durations.mean_s(model) / slots
 
-    def _loss(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+    def _loss(self, row: Endpoint, request: RoutingRequest, now_s: float) -> float:
         endpoint = row.record.id
         objective_s = request.objective_s or DEFAULT_OBJECTIVE_S
         expected_s = self.expected_s(row, request, now_s)
@@ -142,7 +146,9 @@
         weight = self.uncached_read_s(row, request, now_s) / self._speeds.typical_read_s
         return loss + _pause_loss(occupancy, weight)
 
-    def uncached_read_s(self, row: Endpoint, request: Candidate, now_s: float) -> float:
+    def uncached_read_s(
+        self, row: Endpoint, request: RoutingRequest, now_s: float
+    ) -> float:
         """Return the prefill time of the part of the prompt that is not cached."""
         parts = self._prefixes.cached_parts(row.record.id, request.chain, now_s)
         cached = request.chain_tokens[parts - 1] if parts else 0
--- a/chutelink/relaying/signals.py
+++ b/chutelink/relaying/signals.py
@@ -5,11 +5,11 @@
 from multidict import CIMultiDictProxy
 
 from ..core import Application
-from ..entry.dialect import AnswerKind, Dialect
 from ..entry.endpoints import Endpoint, EndpointTable
-from ..entry.loads import LoadBook
-from ..entry.news import LeavingEndpoint
-from ..limits.news import EndpointLimit
+from ..entry.headers import AnswerKind, HeaderCodec
+from ..entry.load_tracker import LoadTracker
+from ..entry.messages import LeavingEndpoint
+from ..limits.messages import EndpointLimit
 from .exchange import Exchange
 
 FIRST_NON_SUCCESS_STATUS = 300
@@ -22,23 +22,23 @@
     ----------
     core : Application
         The application that owns this object.
-    dialect : Dialect
+    header_codec : HeaderCodec
         Decodes headers.
     table : EndpointTable
         The endpoints.
-    loads : LoadBook
+    loads : LoadTracker
         Collects updates for other daemons.
     """
 
     def __init__(
         self,
         core: Application,
-        dialect: Dialect,
+        header_codec: HeaderCodec,
         table: EndpointTable,
-        loads: LoadBook,
+        loads: LoadTracker,
     ) -> None:
         self._core = core
-        self._dialect = dialect
+        self._header_codec = header_codec
         self._table = table
         self._loads = loads
 
@@ -54,7 +54,7 @@
         if self._table.rows.get(row.record.id) is not row:
             # The response is from a former process of this endpoint.
             return
-        signals = self._dialect.decode_signals(status, headers)
+        signals = self._header_codec.decode_signals(status, headers)
         for name in signals.unreadable:
             self._core.events.warning(
                 "endpoint_header_unreadable",
@@ -62,7 +62,7 @@
                 header=name,
                 value=headers[name][:80],
             )
-        kind = self._dialect.classify(status, headers, exchange.meta.id)
+        kind = self._header_codec.classify(status, headers, exchange.meta.id)
         # A refusal may be from another endpoint at a reused address, and an error
         # from a proxy in front of the endpoint: only a success lifts a limit.
         is_success = kind is AnswerKind.ANSWERED and status < FIRST_NON_SUCCESS_STATUS
@@ -109,7 +109,7 @@
         if limit_per_s is not None:
             is_changed = row.limit.note(limit_per_s, self._core.clock())
         else:
-            is_changed = row.limit.note_none(sent_s)
+            is_changed = row.limit.note_unlimited(sent_s)
         if is_changed or limit_per_s is not None:
             record = row.record
             limit = EndpointLimit(record.id, record.born_ms, limit_per_s)
--- a/chutelink/relaying/stream.py
+++ b/chutelink/relaying/stream.py
@@ -9,8 +9,8 @@
 
 from ..core import Application
 from ..entry.config import Route
-from ..entry.dialect import AnswerKind
 from ..entry.endpoints import Endpoint
+from ..entry.headers import AnswerKind
 from ..exceptions import (
     ChutelinkError,
     ConnectionBroken,
@@ -19,11 +19,11 @@
 )
 from ..gateway.refusals import Refusal
 from .caller_stream import CallerStream
-from .dispatching import Exchanges
 from .exchange import Exchange
+from .exchange_dispatcher import ExchangeDispatcher
 from .relay import AttemptResult, Relay, make_refusal
 from .sse import EventSplitter, StreamEvent
-from .upstream import Upstream, WholeResponse, forwarded_headers
+from .upstream import BufferedResponse, Upstream, forwarded_headers
 
 FIRST_EVENT_TIMEOUT_OBJECTIVES = 2.0
 """Timeout of the first event, as a multiple of the route's objective."""
@@ -53,7 +53,7 @@
     ----------
     core : Application
         The application that owns this object.
-    dispatcher : Exchanges
+    dispatcher : ExchangeDispatcher
         Endpoint selection and its tables.
     upstream : Upstream
         Connections to endpoints.
@@ -64,7 +64,7 @@
     def __init__(
         self,
         core: Application,
-        dispatcher: Exchanges,
+        dispatcher: ExchangeDispatcher,
         upstream: Upstream,
         relay: Relay,
     ) -> None:
@@ -75,7 +75,7 @@
 
     async def async_relay(
         self, exchange: Exchange, caller: CallerStream
-    ) -> WholeResponse | web.StreamResponse:
+    ) -> BufferedResponse | web.StreamResponse:
         """Relay a stream; a response that is not a stream is returned complete.
 
         Raises
@@ -84,7 +84,7 @@
             No endpoint served the request, and nothing was sent to the caller.
         """
         exchange.resume_after = exchange.meta.resume_after
-        last: WholeResponse | None = None
+        last: BufferedResponse | None = None
         while True:
             try:
                 row = await self._relay.async_next_endpoint(exchange, last)
@@ -112,8 +112,8 @@
         return self._dispatcher.take_retry(exchange)
 
     def _finish_failed(
-        self, exchange: Exchange, caller: CallerStream, last: WholeResponse | None
-    ) -> WholeResponse | web.StreamResponse:
+        self, exchange: Exchange, caller: CallerStream, last: BufferedResponse | None
+    ) -> BufferedResponse | web.StreamResponse:
         if caller.has_sent_headers:
             return caller.abort()
         if last is not None:
@@ -124,7 +124,7 @@
 
     async def _async_attempt(
         self, exchange: Exchange, row: Endpoint, caller: CallerStream
-    ) -> tuple[AttemptResult, WholeResponse | None]:
+    ) -> tuple[AttemptResult, BufferedResponse | None]:
         """Send to one endpoint; ANSWERED without a response is a finished stream."""
         sent_s = self._core.clock()
         events_before = caller.events
@@ -190,7 +190,7 @@
 
     async def async_run(
         self, sent_s: float
-    ) -> tuple[AttemptResult, WholeResponse | None]:
+    ) -> tuple[AttemptResult, BufferedResponse | None]:
         """Send the request and forward the response."""
         stream_relay, exchange, row = self._stream_relay, self._exchange, self._row
         self._start_prefill()
@@ -207,12 +207,12 @@
 
     async def _async_handle_response(
         self, response: aiohttp.ClientResponse, sent_s: float
-    ) -> tuple[AttemptResult, WholeResponse | None]:
+    ) -> tuple[AttemptResult, BufferedResponse | None]:
         exchange, row = self._exchange, self._row
         self._stream_relay._dispatcher.signals.note(
             exchange, row, response.status, response.headers, sent_s
         )
-        kind = self._stream_relay._dispatcher.dialect.classify(
+        kind = self._stream_relay._dispatcher.header_codec.classify(
             response.status, response.headers, exchange.meta.id
         )
         if (
@@ -220,7 +220,7 @@
             or response.status >= FIRST_NON_SUCCESS_STATUS
         ):
             body = b"" if kind is AnswerKind.FOREIGN else await response.read()
-            answer = WholeResponse(response.status, response.headers, body)
+            answer = BufferedResponse(response.status, response.headers, body)
             took_s = self._stream_relay._core.clock() - sent_s
             if kind is AnswerKind.FOREIGN:
                 response.close()
--- a/chutelink/relaying/upstream.py
+++ b/chutelink/relaying/upstream.py
@@ -101,7 +101,7 @@
     is_repeatable: bool
 
 
-class WholeResponse(msgspec.Struct, frozen=True):
+class BufferedResponse(msgspec.Struct, frozen=True):
     """A response that was read completely."""
 
     status: int
@@ -174,7 +174,7 @@
 
     async def async_exchange(
         self, endpoint: Endpoint, call: EndpointCall, limit_s: float
-    ) -> WholeResponse:
+    ) -> BufferedResponse:
         """Send a call and return the complete response.
 
         Raises
@@ -190,7 +190,7 @@
                 self.async_open(endpoint, call) as response,
             ):
                 body = await response.read()
-                return WholeResponse(response.status, response.headers, body)
+                return BufferedResponse(response.status, response.headers, body)
         except TimeoutError as error:
             raise EndpointFailed(
                 "no answer in time", step="endpoint.exchange", peer=endpoint.record.id
--- a/chutelink/startup.py
+++ b/chutelink/startup.py
@@ -42,7 +42,7 @@
         return load_settings(self.path, type(self.settings))
 
 
-def prepare_start(
+def prepare_startup(
     program: str, description: str, kind: type[SettingsT]
 ) -> StartupContext[SettingsT]:
     """Parse the command line and check the settings.
--- a/chutelink/store/__init__.py
+++ b/chutelink/store/__init__.py
@@ -16,7 +16,7 @@
     Vm,
     VmList,
     VmState,
-    WatchedTable,
+    WatchableTable,
     Write,
 )
 from .http import async_setup_platform
@@ -35,7 +35,7 @@
     "Vm",
     "VmList",
     "VmState",
-    "WatchedTable",
+    "WatchableTable",
     "Write",
     "async_commit",
     "async_setup_platform",
--- a/chutelink/store/base.py
+++ b/chutelink/store/base.py
@@ -127,7 +127,7 @@
         """
 
 
-class WatchedTable(TableService):
+class WatchableTable(TableService):
     """A table service that supports waiting for changes and may drop old changes."""
 
     @abstractmethod
--- a/chutelink/store/breaker.py
+++ b/chutelink/store/breaker.py
@@ -12,7 +12,7 @@
 DEFAULT_MAX_PAUSE_S = 4.0
 
 
-class Breaker:
+class CircuitBreaker:
     """Circuit breaker that rejects calls for a while after consecutive failures.
 
     Pauses are randomized so that the daemons do not all retry at the same time.
--- a/chutelink/store/http.py
+++ b/chutelink/store/http.py
@@ -27,7 +27,7 @@
     Vm,
     VmList,
 )
-from .breaker import Breaker
+from .breaker import CircuitBreaker
 from .connections import close_idle_connections
 
 HTTP_OK = 200
@@ -39,7 +39,7 @@
 """Statuses that a healthy service of the project's own protocol returns."""
 
 
-SECOND_TRY_SHARE = 0.4
+READ_RETRY_FRACTION = 0.4
 """Fraction of the timeout after which a read is retried on a new connection.
 
 Covers a pooled connection that no longer responds but was not reset, which only a
@@ -50,7 +50,7 @@
 """Timer delay above which the event loop is considered to have been blocked."""
 
 
-class Answer(msgspec.Struct, frozen=True):
+class ServiceResponse(msgspec.Struct, frozen=True):
     """Status, body and headers of a response from a platform service."""
 
     status: int
@@ -58,7 +58,7 @@
     headers: Mapping[str, str] = {}
 
 
-_SendAttempt = Callable[[], Awaitable[Answer]]
+_SendAttempt = Callable[[], Awaitable[ServiceResponse]]
 
 
 class ReadRetry(msgspec.Struct, frozen=True):
@@ -82,7 +82,7 @@
     conflict: str = ""
 
 
-class HttpCaller:
+class PlatformServiceClient:
     """Calls a platform service with a timeout and a circuit breaker.
 
     Parameters
@@ -112,7 +112,7 @@
         self._settings = settings
         self.peer = peer
         self._statuses = statuses
-        self.breaker = Breaker(
+        self.breaker = CircuitBreaker(
             peer,
             settings.calls_per_s,
             now_s,
@@ -133,7 +133,7 @@
         is_conditional_write: bool = False,
         is_read: bool = False,
         wait_s: float = 0.0,
-    ) -> Answer:
+    ) -> ServiceResponse:
         """Send a call and classify failures by whether it may have taken effect.
 
         ``wait_s`` is how long the service may hold back its response in a long poll;
@@ -151,7 +151,7 @@
             A conditional write was sent but its response was lost.
         """
 
-        async def async_send(query: dict[str, str] | None) -> Answer:
+        async def async_send(query: dict[str, str] | None) -> ServiceResponse:
             self.breaker.before_call(step)
             async with self._session.request(
                 method,
@@ -161,7 +161,7 @@
                 headers=self._headers,
             ) as response:
                 received = await response.read()
-                return Answer(response.status, received, response.headers)
+                return ServiceResponse(response.status, received, response.headers)
 
         try:
             async with asyncio.timeout(self._settings.timeout_s + wait_s):
@@ -195,13 +195,13 @@
         sends: tuple[_SendAttempt, _SendAttempt],
         step: str,
         wait_s: float,
-    ) -> Answer:
+    ) -> ServiceResponse:
         """Send a request, retry it if there is no response; return the first one."""
         started_s = now_s()
         async_send, async_send_again = sends
         first = asyncio.ensure_future(async_send())
         attempts = {first}
-        retry_after_s = wait_s + SECOND_TRY_SHARE * self._settings.timeout_s
+        retry_after_s = wait_s + READ_RETRY_FRACTION * self._settings.timeout_s
         try:
             await asyncio.wait(attempts, timeout=retry_after_s)
             lag_s = now_s() - started_s - retry_after_s
@@ -219,7 +219,9 @@
                 task.cancel()
 
 
-async def _async_first_response(attempts: set[asyncio.Future[Answer]]) -> Answer:
+async def _async_first_response(
+    attempts: set[asyncio.Future[ServiceResponse]],
+) -> ServiceResponse:
     """Return the first response, or raise the last error if all attempts fail."""
     pending = set(attempts)
     while True:
@@ -234,7 +236,7 @@
 class HttpTableService(TableService):
     """Table service over HTTP."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, caller: PlatformServiceClient) -> None:
         self._caller = caller
         self._page_decoder = msgspec.json.Decoder(RowPage)
 
@@ -278,7 +280,7 @@
 class HttpObjectStore(ObjectStore):
     """Object store over HTTP."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, caller: PlatformServiceClient) -> None:
         self._caller = caller
 
     async def async_put(self, name: str, body: bytes) -> None:
@@ -298,7 +300,7 @@
 class HttpVmList(VmList):
     """VM list over HTTP."""
 
-    def __init__(self, caller: HttpCaller) -> None:
+    def __init__(self, caller: PlatformServiceClient) -> None:
         self._caller = caller
 
     async def async_list(self) -> list[Vm]:
@@ -317,7 +319,7 @@
 ) -> Platform:
     """Return the platform services, each with its own circuit breaker."""
     return Platform(
-        table=HttpTableService(HttpCaller(session, settings, "table")),
-        objects=HttpObjectStore(HttpCaller(session, settings, "objects")),
-        vms=HttpVmList(HttpCaller(session, settings, "vms")),
+        table=HttpTableService(PlatformServiceClient(session, settings, "table")),
+        objects=HttpObjectStore(PlatformServiceClient(session, settings, "objects")),
+        vms=HttpVmList(PlatformServiceClient(session, settings, "vms")),
     )
--- a/chutelink/systems/admission.py
+++ b/chutelink/systems/admission.py
@@ -16,7 +16,7 @@
         self._rate_per_s = 0.0
         self._updated_s = 0.0
 
-    def note(self, now_s: float) -> None:
+    def record(self, now_s: float) -> None:
         """Count one request that was dispatched from the queue to an endpoint."""
         self._decay(now_s)
         self._rate_per_s += 1.0 / self._period_s
--- a/chutelink/systems/packing.py
+++ b/chutelink/systems/packing.py
@@ -145,7 +145,7 @@
     ).name
 
 
-def pack_minimum(fleet: FleetSpec) -> PackResult:
+def pack_minimum_replicas(fleet: FleetSpec) -> PackResult:
     """Place the minimum number of replicas of each model on empty endpoints."""
     memory = MemoryMap(fleet, fleet.engines())
     assignment: Assignment = {name: set() for name in memory.endpoints}
--- a/chutelink/systems/routing.py
+++ b/chutelink/systems/routing.py
@@ -13,7 +13,7 @@
 CHARACTERS_PER_TOKEN = 4
 
 
-def usable(
+def usable_endpoints(
     rows: list[Endpoint], request: WaitingRequest, now_s: float
 ) -> list[Endpoint]:
     """Return the endpoints that accept new requests and were not yet tried.
@@ -21,7 +21,7 @@
     Endpoints that failed recently are excluded unless there are no others.
     """
     found = [
-        row for row in rows if row.takes_new_work and row.name not in request.excluded
+        row for row in rows if row.accepts_requests and row.name not in request.excluded
     ]
     return [row for row in found if row.excluded_until_s <= now_s] or found
 
--- a/chutelink/tables/callers.py
+++ b/chutelink/tables/callers.py
@@ -76,13 +76,13 @@
             self._admitted_counts[caller] = self._admitted_counts.get(caller, 0) + 1
         return wait_s
 
-    def share(self, others_per_s: dict[str, float]) -> None:
+    def apply_usage_of_others(self, others_per_s: dict[str, float]) -> None:
         """Reduce rates by the usage of other gateways, but not below the even share."""
         for name, bucket in self._buckets.items():
             available_per_s = self._rates_per_s[name] - others_per_s.get(name, 0.0)
             bucket.rate_per_s = max(self._even_share_per_s[name], available_per_s)
 
-    def take_usage(self, period_s: float) -> dict[str, float]:
+    def collect_usage(self, period_s: float) -> dict[str, float]:
         """Return and reset the requests per second of the callers with most usage."""
         rates = {
             name: count / period_s for name, count in self._admitted_counts.items()
--- a/chutelink/tables/endpoints.py
+++ b/chutelink/tables/endpoints.py
@@ -32,7 +32,7 @@
     DRAINING = "draining"
 
 
-class HeldArtifact(msgspec.Struct, frozen=True):
+class ReportedArtifact(msgspec.Struct, frozen=True):
     """An artifact in an engine's report; memory is per accelerator."""
 
     name: str
@@ -60,7 +60,7 @@
     waiting: int = 0
     prefill_tokens_per_s: float = 10_000.0
     step_s: float = 0.02
-    artifacts: tuple[HeldArtifact, ...] = ()
+    artifacts: tuple[ReportedArtifact, ...] = ()
     cached_prefixes: tuple[str, ...] = ()
 
 
@@ -103,7 +103,7 @@
         self.is_vm_leaving = False
 
     @property
-    def takes_new_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether new requests may be sent to the endpoint."""
         return self.state is EndpointState.LIVE
 
--- a/chutelink/tables/members.py
+++ b/chutelink/tables/members.py
@@ -78,7 +78,7 @@
         self._suspected_since_s: dict[DaemonId, float] = {}
         self.changes = 0
         """Number of row changes, for invalidating what is derived from the rows."""
-        self.grew_s = float("-inf")
+        self.last_new_member_s = float("-inf")
         """Time at which a previously unknown daemon was last added."""
 
     def merge(self, update: Member, now_s: float) -> Member | None:
@@ -155,7 +155,7 @@
 
     def _store(self, update: Member, now_s: float) -> None:
         if update.id not in self.rows:
-            self.grew_s = now_s
+            self.last_new_member_s = now_s
         self.rows[update.id] = update
         self.changes += 1
         if update.state is MemberState.SUSPECT:
--- a/chutelink/tables/queues.py
+++ b/chutelink/tables/queues.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..ids import DaemonId, FailureDomainName
-from ..peers.messages import QueueNews
+from ..peers.messages import QueueUpdate
 
 MAX_AGE_S = 8.0
 
@@ -12,7 +12,7 @@
     """The latest message of each gateway; messages past ``MAX_AGE_S`` are ignored."""
 
     def __init__(self) -> None:
-        self._rows: dict[DaemonId, tuple[float, QueueNews]] = {}
+        self._rows: dict[DaemonId, tuple[float, QueueUpdate]] = {}
         self._sequence = 0
 
     def next_sequence(self) -> int:
@@ -20,7 +20,7 @@
         self._sequence += 1
         return self._sequence
 
-    def merge(self, message: QueueNews, now_s: float) -> bool:
+    def merge(self, message: QueueUpdate, now_s: float) -> bool:
         """Merge a message; return whether it must be forwarded."""
         known = self._rows.get(message.gateway)
         is_same_process = known is not None and known[1].boot_id == message.boot_id
@@ -29,7 +29,7 @@
         self._rows[message.gateway] = (now_s, message)
         return True
 
-    def callers_of_others(self, own: DaemonId, now_s: float) -> dict[str, float]:
+    def caller_rates_of_others(self, own: DaemonId, now_s: float) -> dict[str, float]:
         """Return each caller's requests per second at the other gateways."""
         total: dict[str, float] = {}
         for received_s, message in self._rows.values():
--- a/chutelink/tables/state.py
+++ b/chutelink/tables/state.py
@@ -39,7 +39,7 @@
         self.is_read = False
         self.changes = 0
 
-    def forget_version(self) -> None:
+    def reset_version(self) -> None:
         """Make the next read return all rows."""
         self.version = 0
         self.is_read = False
--- a/chutelink/watching/followed.py
+++ b/chutelink/watching/table_state.py
@@ -32,7 +32,7 @@
     is_restored: bool = False
 
 
-class Knowledge(msgspec.Struct, frozen=True):
+class TableFreshness(msgspec.Struct, frozen=True):
     """Version and age of a table's copy, for logs of the decisions made with it."""
 
     version: int
--- a/chutelink/watching/tablecopy.py
+++ b/chutelink/watching/tablecopy.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..entry.news import StoredRow, StoreNews
+from ..entry.messages import StoredRow, StoreUpdate
 from ..ids import NO_ERA
 
 
@@ -57,14 +57,14 @@
         self.answered_s = float("-inf")
         self.rows: dict[str, StoredRow] = {}
 
-    def apply_read(self, read: StoreNews) -> list[StoredRow]:
+    def apply_read(self, read: StoreUpdate) -> list[StoredRow]:
         """Apply a read by this daemon, and return the rows that changed.
 
         Nothing is applied if an update of a later version arrived during the read.
         """
         return self.apply(read)
 
-    def apply(self, update: StoreNews) -> list[StoredRow]:
+    def apply(self, update: StoreUpdate) -> list[StoredRow]:
         """Apply an update if it is applicable, and return the rows that changed."""
         if self.status_of(update) is not UpdateStatus.APPLICABLE:
             return []
@@ -72,7 +72,7 @@
         self._advance(update)
         return changed
 
-    def status_of(self, update: StoreNews) -> UpdateStatus:
+    def status_of(self, update: StoreUpdate) -> UpdateStatus:
         """Return whether an update can be applied to this copy."""
         if (update.era, update.version) < (self.era, self.version):
             return UpdateStatus.OUTDATED
@@ -84,7 +84,9 @@
             UpdateStatus.GAP if update.after > self.version else UpdateStatus.APPLICABLE
         )
 
-    def make_update(self, read: StoreNews, before: dict[str, StoredRow]) -> StoreNews:
+    def make_update(
+        self, read: StoreUpdate, before: dict[str, StoredRow]
+    ) -> StoreUpdate:
         """Return the update for other daemons from a read that was applied.
 
         ``before`` holds the rows as they were when the read began. A row that changed
@@ -101,12 +103,12 @@
             values[row.key] = row.value
         return msgspec.structs.replace(read, rows=list(changed.values()))
 
-    def to_snapshot(self) -> StoreNews:
+    def to_snapshot(self) -> StoreUpdate:
         """Return an update that contains the full table."""
         rows = list(self.rows.values())
-        return StoreNews(self.name, 0, self.version, self.answered_s, rows, self.era)
+        return StoreUpdate(self.name, 0, self.version, self.answered_s, rows, self.era)
 
-    def _apply_rows(self, update: StoreNews) -> list[StoredRow]:
+    def _apply_rows(self, update: StoreUpdate) -> list[StoredRow]:
         # A read has every change in order: the last change of a row counts.
         latest = {row.key: row for row in update.rows}
         changed = [row for row in latest.values() if self._is_changed(row)]
@@ -131,13 +133,13 @@
             return row.value is not None
         return row.value != known.value
 
-    def _removed_rows(self, update: StoreNews) -> list[StoredRow]:
+    def _removed_rows(self, update: StoreUpdate) -> list[StoredRow]:
         present = {row.key for row in update.rows}
         return [
             StoredRow(key, update.version, None) for key in self.rows.keys() - present
         ]
 
-    def _advance(self, update: StoreNews) -> None:
+    def _advance(self, update: StoreUpdate) -> None:
         if update.era > self.era:
             # The store's clock may have been reset too.
             self.answered_s = update.answered_s
--- a/chutelink/watching/timing.py
+++ b/chutelink/watching/timing.py
@@ -11,7 +11,7 @@
 
 from ..core import Application
 from ..settings import PlatformSection
-from ..store.http import SECOND_TRY_SHARE
+from ..store.http import READ_RETRY_FRACTION
 
 FIRST_BACKUP_SHARE = 0.35
 """Age of a copy at which rank 1 reads the store itself, as a share of the bound."""
@@ -55,11 +55,11 @@
     after_slow_s = staleness_bound_s - last_rank_s - SLOW_ANSWER_S
     pause_s = MIN_RETRY_PAUSE_S * RETRY_JITTER
     after_failed_s = staleness_bound_s - last_rank_s - pause_s - QUICK_ANSWER_S
-    longest_s = min(after_slow_s, after_failed_s) / SECOND_TRY_SHARE
+    longest_s = min(after_slow_s, after_failed_s) / READ_RETRY_FRACTION
     return max(MIN_TIMEOUT_S, longest_s)
 
 
-def fit_time_limit(
+def cap_timeout(
     core: Application, platform: PlatformSection, staleness_bound_s: float
 ) -> PlatformSection:
     """Return the platform's settings with the call timeout capped to fit the bound."""
--- a/chutelink/watching/watch.py
+++ b/chutelink/watching/watch.py
@@ -15,13 +15,13 @@
 from mode import Service
 
 from ..core import Application
-from ..entry.news import SnapshotRequest, StoredRow, StoreNews
+from ..entry.messages import SnapshotRequest, StoredRow, StoreUpdate
 from ..exceptions import HistoryLost, PlatformUnavailable
 from ..ids import DaemonId, StoreEra
-from ..store import Row, RowPage, WatchedTable
-from .followed import OWN_READ, Knowledge, RowChange, TableState
+from ..store import Row, RowPage, WatchableTable
 from .probing import ProbeBackoff
 from .storeclock import StoreClock
+from .table_state import OWN_READ, RowChange, TableFreshness, TableState
 from .tablecopy import UpdateStatus
 from .timing import (
     FIRST_BACKUP_SHARE,
@@ -47,7 +47,7 @@
     ----------
     core : Application
         The application that owns the service.
-    table : WatchedTable
+    table : WatchableTable
         Client of the store.
     staleness_bounds_s : dict
         Tables to replicate, and the time within which every daemon must know a change.
@@ -62,10 +62,10 @@
     def __init__(
         self,
         core: Application,
-        table: WatchedTable,
+        table: WatchableTable,
         staleness_bounds_s: dict[str, float],
         rank: Callable[[], int],
-        send: Callable[[StoreNews | SnapshotRequest], None],
+        send: Callable[[StoreUpdate | SnapshotRequest], None],
         outage_s: float = 0.0,
     ) -> None:
         super().__init__()
@@ -86,9 +86,11 @@
         self.on_row: Callable[[RowChange], None] = lambda change: None
         self.on_restored: Callable[[str, set[str]], None] = lambda table, keys: None
         """Called with a table that moved to a later era, and its keys in that era."""
-        self.reply: Callable[[DaemonId, StoreNews], None] = lambda daemon, update: None
+        self.reply: Callable[[DaemonId, StoreUpdate], None] = lambda daemon, update: (
+            None
+        )
         self.compact: Callable[[str, Any], Any] = lambda key, value: value
-        self.alone_until_s: Callable[[], float] = lambda: float("-inf")
+        self.isolated_until_s: Callable[[], float] = lambda: float("-inf")
         """End of the last period without messages from peers, now while one lasts.
 
         On this daemon's clock.
@@ -103,10 +105,10 @@
         """Return whether each of the named tables has been read at least once."""
         return all(self._tables[name].copy.version > 0 for name in names)
 
-    def knowledge(self, name: str) -> Knowledge:
+    def knowledge(self, name: str) -> TableFreshness:
         """Return the version and age of a table's copy."""
         copy = self._tables[name].copy
-        return Knowledge(copy.version, self._age_s(copy.answered_s))
+        return TableFreshness(copy.version, self._age_s(copy.answered_s))
 
     def _age_s(self, answered_s: float) -> float:
         return self._store_clock.max_age_s(answered_s, self._core.clock())
@@ -177,7 +179,7 @@
         if not is_first:
             self._send(copy.make_update(read, before))
 
-    def _record_answer(self, state: TableState, read: StoreNews) -> None:
+    def _record_answer(self, state: TableState, read: StoreUpdate) -> None:
         """Record the timing of an answered call, and log a slow one."""
         now_s = self._core.clock()
         self._store_clock.add_sample(state.call_started_s, now_s, read.answered_s)
@@ -194,7 +196,7 @@
                 age_s=self._age_s(read.answered_s),
             )
 
-    async def _async_read(self, state: TableState) -> StoreNews:
+    async def _async_read(self, state: TableState) -> StoreUpdate:
         """Return the changes since the copy's version, or the full table.
 
         The full table is read when there is no copy yet, when the store no longer has
@@ -220,13 +222,13 @@
             state.call_started_s = self._core.clock()
             page = await self._table.async_read(prefix)
         rows = [self._make_row(row) for row in page.rows]
-        return StoreNews(name, after, page.version, page.answered_s, rows, page.era)
+        return StoreUpdate(name, after, page.version, page.answered_s, rows, page.era)
 
     def _make_row(self, row: Row) -> StoredRow:
         value = None if row.value is None else self.compact(row.key, row.value)
         return StoredRow(row.key, row.version, value)
 
-    def take_news(self, update: StoreNews, source: str) -> None:
+    def apply_update(self, update: StoreUpdate, source: str) -> None:
         """Apply an update from another daemon if it is applicable."""
         state = self._tables.get(update.table)
         if state is None:
@@ -249,7 +251,7 @@
         if status is UpdateStatus.APPLICABLE:
             self._apply(state, update, source)
 
-    def _apply(self, state: TableState, update: StoreNews, source: str) -> None:
+    def _apply(self, state: TableState, update: StoreUpdate, source: str) -> None:
         """Apply an applicable update, and report the changed rows."""
         copy = state.copy
         is_restored = copy.version > 0 and update.era > copy.era
@@ -293,7 +295,7 @@
             )
             self.on_row(change)
 
-    def _detect_outage(self, state: TableState, update: StoreNews) -> None:
+    def _detect_outage(self, state: TableState, update: StoreUpdate) -> None:
         """Detect an outage of the store from the gap between its answers.
 
         The daemons read in turn and send each other updates, so answers of the store
@@ -318,7 +320,7 @@
         )
         state.latest_era = update.era
 
-    def _log_restored(self, state: TableState, update: StoreNews) -> None:
+    def _log_restored(self, state: TableState, update: StoreUpdate) -> None:
         self._core.events.warning(
             "store_restored",
             table=update.table,
@@ -337,7 +339,7 @@
         answer, for longer than the staleness bound.
         """
         gap_started_s = self._core.clock() - self._age_s(answered_s) - gap_s
-        is_outage = self.alone_until_s() < gap_started_s
+        is_outage = self.isolated_until_s() < gap_started_s
         if is_outage:
             state.recovered_s = answered_s
         self._core.events.info(
@@ -358,7 +360,7 @@
         self._is_store_down = True
         now_s = self._core.clock()
         is_urgent = copy.version == 0 or state.has_gap
-        is_urgent |= self.alone_until_s() >= now_s
+        is_urgent |= self.isolated_until_s() >= now_s
         self._backoff.record_failure(now_s, self._rank(), is_urgent=is_urgent)
         if copy.version == 0 or state.has_gap:
             self._send(SnapshotRequest(copy.name, self._core.daemon_id))
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from tests.processes.entry_deployment import (
-    FAILURES,
-    FIRST_PORT,
+    BASE_PORT,
+    CONNECTION_ERRORS,
     EntryDeployment,
 )
 
@@ -89,7 +89,7 @@
         loop = asyncio.get_running_loop()
         outcome = Outcome(request_id, self._kind, daemon, loop.time(), 0.0)
         address = self._deployment.address(daemon)
-        url = f"http://{address}:{FIRST_PORT}/{self._kind.value}/{request_id}"
+        url = f"http://{address}:{BASE_PORT}/{self._kind.value}/{request_id}"
         headers = {
             "Host": "a.example",
             "X-Request-Id": request_id,
@@ -107,7 +107,7 @@
                 async for chunk in answer.content.iter_any():
                     body += chunk
                 is_whole = True
-        except FAILURES:
+        except CONNECTION_ERRORS:
             pass
         return msgspec.structs.replace(
             outcome, ended_s=loop.time(), status=status, body=body, is_whole=is_whole
--- a/soak/endpoint_signals.py
+++ b/soak/endpoint_signals.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from tests.rates import LIMIT_WINDOW_S, allowed_in_window, most_in_window
+from tests.rates import LIMIT_WINDOW_S, max_events_in_window, max_requests_in_window
 
 from .plan import FaultKind
 
@@ -85,14 +85,14 @@
         )
     elif signal.kind is FaultKind.ENDPOINT_LIMITS:
         from_s, until_s = signaled_s + LIMIT_GRACE_S, signal.ended_s
-        allowed = allowed_in_window(signal.value)
+        allowed = max_requests_in_window(signal.value)
     else:
         from_s = signaled_s + PAUSE_GRACE_S + PROPAGATION_MARGIN_S
         until_s = min(signal.ended_s, signaled_s + signal.value)
         # The other daemons may not have received the pause from this endpoint yet.
         allowed = MAX_REQUESTS_IN_PAUSE * daemons + (daemons - 1) * callers
     checked_arrivals_s = [time_s for time_s in arrived_s if from_s <= time_s <= until_s]
-    most = most_in_window(checked_arrivals_s, LIMIT_WINDOW_S)
+    most = max_events_in_window(checked_arrivals_s, LIMIT_WINDOW_S)
     if most <= allowed:
         return []
     return [
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -183,7 +183,7 @@
         process = self._deployment.processes[f"vm-{fault.target % self._daemons}"]
         process.freeze()
         await asyncio.sleep(fault.for_s)
-        process.wake()
+        process.resume()
 
     async def _async_reload(self, fault: Fault) -> None:
         process = self._deployment.processes[f"vm-{fault.target % self._daemons}"]
@@ -210,9 +210,9 @@
                 {"lose_replies": 0},
             ),
         }[fault.kind]
-        await self._deployment.async_store_faults(**on)
+        await self._deployment.async_set_store_faults(**on)
         await asyncio.sleep(fault.for_s)
-        await self._deployment.async_store_faults(**off)
+        await self._deployment.async_set_store_faults(**off)
 
     async def _async_drop_history(self, fault: Fault) -> None:
         await self._deployment.async_control_store("forget")
@@ -221,19 +221,19 @@
         """Take the store down and restore an earlier snapshot."""
         await self._deployment.async_control_store("store/copy")
         await asyncio.sleep(fault.for_s)
-        await self._deployment.async_store_faults(is_out=True)
+        await self._deployment.async_set_store_faults(is_out=True)
         await asyncio.sleep(MAX_OUTAGE_S * fault.strength)
         restored = asyncio.create_task(
             self._deployment.async_control_store("store/restore")
         )
-        await self._deployment.async_store_faults(is_out=False)
+        await self._deployment.async_set_store_faults(is_out=False)
         await restored
 
     async def _async_disturb_links(self, fault: Fault) -> None:
         if fault.kind is FaultKind.LINKS_RESET:
             self._proxy.reset()
         elif fault.kind is FaultKind.LINKS_SILENT:
-            self._proxy.silence()
+            self._proxy.blackhole()
         elif fault.kind is FaultKind.LINKS_SLOW:
             self._proxy.delay_s = MAX_DELAY_S * fault.strength
             await asyncio.sleep(fault.for_s)
@@ -246,17 +246,19 @@
     async def _async_drain(self, fault: Fault) -> None:
         name = ENDPOINTS[fault.target % len(ENDPOINTS)]
         async with self._endpoint_locks[name]:
-            await self._deployment.async_endpoint(name, "draining")
+            await self._deployment.async_set_endpoint(name, "draining")
             await asyncio.sleep(fault.for_s)
-            await self._deployment.async_endpoint(name)
+            await self._deployment.async_set_endpoint(name)
 
     async def _async_signal_leaving(self, fault: Fault) -> None:
         """Make an endpoint announce that it leaves, then replace its process."""
         name = _plain_endpoint(fault)
         async with self._endpoint_locks[name]:
             await self._async_signal(fault, name, 0.0, says_leaving=True)
-            await self._deployment.async_endpoint(name, "draining", says_leaving=False)
-            await self._deployment.async_endpoint(name)
+            await self._deployment.async_set_endpoint(
+                name, "draining", says_leaving=False
+            )
+            await self._deployment.async_set_endpoint(name)
 
     async def _async_signal_limit(self, fault: Fault) -> None:
         limit_per_s = 1.0 + (MAX_LIMIT_PER_S - 1.0) * fault.strength
@@ -264,14 +266,14 @@
         async with self._endpoint_locks[name]:
             fields = {"limit_per_s": limit_per_s}
             await self._async_signal(fault, name, limit_per_s, **fields)
-            await self._deployment.async_endpoint(name, limit_per_s=0.0)
+            await self._deployment.async_set_endpoint(name, limit_per_s=0.0)
 
     async def _async_signal_pause(self, fault: Fault) -> None:
         pause_s = 1.0 + (MAX_PAUSE_S - 1.0) * fault.strength
         name = _plain_endpoint(fault)
         async with self._endpoint_locks[name]:
             await self._async_signal(fault, name, pause_s, pause_s=pause_s)
-            await self._deployment.async_endpoint(name, pause_s=0.0)
+            await self._deployment.async_set_endpoint(name, pause_s=0.0)
 
     async def _async_signal(
         self, fault: Fault, name: str, value: float, **fields: object
@@ -279,7 +281,7 @@
         """Make an endpoint's answers carry a signal for a while."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        await self._deployment.async_endpoint(name, **fields)
+        await self._deployment.async_set_endpoint(name, **fields)
         await asyncio.sleep(SIGNAL_DURATION_FACTOR * fault.for_s)
         self.signals.append(
             EndpointSignal(fault.kind, name, began_s, loop.time(), value)
@@ -300,7 +302,7 @@
                 "cut_after_events": _affected_answers(fault),
                 "cuts": _affected_answers(fault),
             }
-        await self._deployment.async_endpoint(name, **changes)
+        await self._deployment.async_set_endpoint(name, **changes)
 
 
 def _plain_endpoint(fault: Fault) -> str:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from tests.processes.silence import SilencingProxy
+from tests.processes.blackhole_proxy import BlackholeProxy
 
 
-class StoreProxy(SilencingProxy):
+class StoreProxy(BlackholeProxy):
     """Delays data, drops one direction, or resets open connections.
 
     Attributes
@@ -29,12 +29,12 @@
         for writer in list(self._open_writers):
             writer.transport.abort()
 
-    async def _async_pass_both(
+    async def _async_forward_both(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._open_writers.add(writer)
         try:
-            await super()._async_pass_both(reader, writer)
+            await super()._async_forward_both(reader, writer)
         finally:
             self._open_writers.discard(writer)
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from tests.processes.entry_deployment import (
-    FAILURES,
+    CONNECTION_ERRORS,
     EntryDeployment,
     async_entry_deployment,
 )
@@ -107,7 +107,7 @@
             async with self._deployment.request(daemon, route_path, name) as answer:
                 await answer.read()
                 return answer.status
-        except FAILURES:
+        except CONNECTION_ERRORS:
             return 0
 
     def _check_version(
