--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -141,7 +141,7 @@
         if self._consume_fault("late_orders"):
             self._schedule_order(order)
             await self._async_abort_connection(request)
-        answer = self.engine.take_order(order)
+        answer = self.engine.apply_order(order)
         if self._consume_fault("doubled_orders"):
             self._schedule_order(order)
         if self._consume_fault("lose_order_replies"):
@@ -150,7 +150,7 @@
 
     def _schedule_order(self, order: Order) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(self.faults.late_order_s, self.engine.take_order, order)
+        loop.call_later(self.faults.late_order_s, self.engine.apply_order, order)
 
     async def async_complete(self, request: web.Request) -> web.StreamResponse:
         """Serve a completion, streamed or in one body."""
@@ -252,7 +252,7 @@
 
     async def async_account(self, request: web.Request) -> web.Response:
         """Return the engine's statistics on memory, orders and loads."""
-        return json_response(self.engine.account)
+        return json_response(self.engine.stats)
 
     async def async_requests(self, request: web.Request) -> web.Response:
         """Return the ids of the requests that reached the engine."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -14,7 +14,7 @@
 from chutelink.endpoints.messages import Order, OrderAnswer, OrderResult
 from chutelink.fleet.model import Artifact
 from chutelink.ids import BootId, FencingNumber, make_id
-from chutelink.tables.endpoints import ArtifactState, EndpointReport, HeldArtifact
+from chutelink.tables.endpoints import ArtifactState, EndpointReport, ReportedArtifact
 from chutelink.tables.ledger import OrderAction
 
 from .text import prefix_hashes, token_text
@@ -77,8 +77,8 @@
         self.boot_id = BootId(make_id())
         self.fence = FencingNumber(0)
         self.is_leaving = False
-        self.account = EngineStats()
-        self.held: dict[Artifact, _ResidentArtifact] = {}
+        self.stats = EngineStats()
+        self.resident_artifacts: dict[Artifact, _ResidentArtifact] = {}
         self.running = 0
         self._waiters: list[tuple[int, int, asyncio.Future[None]]] = []
         self._arrival_numbers = itertools.count()
@@ -87,11 +87,11 @@
         self._load_sample = (0, 0)
         self._load_sampled_s = float("-inf")
 
-    def take_order(self, order: Order) -> OrderAnswer:
+    def apply_order(self, order: Order) -> OrderAnswer:
         """Apply an order; it takes effect during this call."""
-        self.account.orders += 1
+        self.stats.orders += 1
         if self.options.checks_fencing and order.fence < self.fence:
-            self.account.stale_orders += 1
+            self.stats.stale_orders += 1
             return OrderAnswer(OrderResult.STALE, f"fence is {self.fence}")
         self.fence = max(self.fence, order.fence)
         if order.action is OrderAction.LOAD:
@@ -102,7 +102,7 @@
 
     def _apply_load(self, order: Order) -> OrderAnswer:
         artifact = Artifact(order.name, order.version)
-        resident = self.held.get(artifact)
+        resident = self.resident_artifacts.get(artifact)
         if resident is not None and resident.state is ArtifactState.DRAINING:
             return OrderAnswer(OrderResult.REFUSED, "draining")
         if resident is not None:
@@ -110,14 +110,14 @@
         self._record_overcommit(order)
         if self._exceeds_memory(order):
             return OrderAnswer(OrderResult.REFUSED, "no memory")
-        self.held[artifact] = _ResidentArtifact(order)
-        self.account.peak_used_mb = max(self.account.peak_used_mb, *self.used_mb())
+        self.resident_artifacts[artifact] = _ResidentArtifact(order)
+        self.stats.peak_used_mb = max(self.stats.peak_used_mb, *self.used_mb())
         self._create_task(self._async_load(artifact))
         return OrderAnswer(OrderResult.ACCEPTED)
 
     def _apply_unload(self, order: Order) -> OrderAnswer:
         artifact = Artifact(order.name, order.version)
-        resident = self.held.get(artifact)
+        resident = self.resident_artifacts.get(artifact)
         if resident is not None:
             resident.state = ArtifactState.DRAINING
             self._free_if_drained(artifact)
@@ -126,7 +126,7 @@
     def used_mb(self) -> list[int]:
         """Return the memory used on each accelerator by artifacts in any state."""
         used = [0] * self.options.accelerators
-        for resident in self.held.values():
+        for resident in self.resident_artifacts.values():
             for index in resident.order.accelerators:
                 used[index] += resident.order.memory_mb
         return used
@@ -139,29 +139,29 @@
     def _record_overcommit(self, order: Order) -> None:
         if self._exceeds_memory(order):
             text = f"fence {order.fence}: {order.name}@{order.version}"
-            self.account.overcommits.append(text)
+            self.stats.overcommits.append(text)
 
     async def _async_load(self, artifact: Artifact) -> None:
-        resident = self.held[artifact]
+        resident = self.resident_artifacts[artifact]
         await self._async_fetch_weights(resident.order.memory_mb)
         if (
-            self.held.get(artifact) is resident
+            self.resident_artifacts.get(artifact) is resident
             and resident.state is ArtifactState.LOADING
         ):
             resident.state = ArtifactState.LOADED
-            self.account.loads += 1
+            self.stats.loads += 1
 
     def _free_if_drained(self, artifact: Artifact) -> None:
-        resident = self.held.get(artifact)
+        resident = self.resident_artifacts.get(artifact)
         if resident is None or resident.state is not ArtifactState.DRAINING:
             return
         if resident.running == 0 and resident.waiting == 0:
-            del self.held[artifact]
-            self.account.unloads += 1
+            del self.resident_artifacts[artifact]
+            self.stats.unloads += 1
 
     def find_loaded(self, name: str, version: str) -> Artifact | None:
         """Return a loaded artifact by name; an empty version matches any."""
-        for artifact, resident in self.held.items():
+        for artifact, resident in self.resident_artifacts.items():
             is_match = artifact.name == name and version in ("", artifact.version)
             if is_match and resident.state is ArtifactState.LOADED:
                 return artifact
@@ -174,7 +174,7 @@
             self._load_sample = (self.running, len(self._waiters))
             self._load_sampled_s = now_s
         artifacts = tuple(
-            HeldArtifact(
+            ReportedArtifact(
                 a.name,
                 a.version,
                 resident.state,
@@ -184,7 +184,7 @@
                 resident.running,
                 resident.waiting,
             )
-            for a, resident in sorted(self.held.items())
+            for a, resident in sorted(self.resident_artifacts.items())
         )
         return EndpointReport(
             boot_id=self.boot_id,
@@ -208,7 +208,7 @@
         priority: int = 5,
     ) -> AsyncIterator[str]:
         """Yield the tokens of an answer as they are generated."""
-        resident = self.held[artifact]
+        resident = self.resident_artifacts[artifact]
         resident.waiting += 1
         has_slot = False
         try:
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -60,7 +60,7 @@
         self.faults = StoreFaults()
         self.calls = 0
         self.max_page_rows = MAX_PAGE_ROWS
-        self.after_page: Callable[[], object] = lambda: None
+        self.on_page_read: Callable[[], object] = lambda: None
         """Called after each page of a read, before the next one is requested."""
         self._history: deque[StoredRow] = deque(maxlen=MAX_KEPT_CHANGES)
         self._oldest_readable_version = 0
@@ -84,17 +84,19 @@
         self._history.clear()
         self._oldest_readable_version = self.version
 
-    def copy(self) -> StoreSnapshot:
+    def snapshot(self) -> StoreSnapshot:
         """Return a snapshot of the current contents."""
         return StoreSnapshot(dict(self.rows), tuple(self._history), self.version)
 
-    def restore(self, copy: StoreSnapshot) -> None:
+    def restore(self, snapshot: StoreSnapshot) -> None:
         """Restore a snapshot; writes made since are lost."""
-        self.rows = dict(copy.rows)
-        self.version = copy.version
+        self.rows = dict(snapshot.rows)
+        self.version = snapshot.version
         self._history.clear()
-        self._history.extend(copy.history)
-        self._oldest_readable_version = min(self._oldest_readable_version, copy.version)
+        self._history.extend(snapshot.history)
+        self._oldest_readable_version = min(
+            self._oldest_readable_version, snapshot.version
+        )
         self.era += 1
         self._notify_waiters()
 
@@ -154,7 +156,7 @@
         page = self._make_page(rows[: self.max_page_rows])
         page["truncated"] = len(rows) > self.max_page_rows
         answer = json_response(page)
-        self.after_page()
+        self.on_page_read()
         return answer
 
     async def async_feed(self, request: web.Request) -> web.Response:
--- a/standins/prepared.py
+++ b/standins/prepared.py
@@ -29,7 +29,7 @@
         self._servers: dict[str, asyncio.Server] = {}
         self._handlers: dict[str, web.Server] = {}
         self._restart_tasks: set[asyncio.Task[None]] = set()
-        self.away_s = 0.3
+        self.restart_delay_s = 0.3
         """How long an endpoint stays down after a request has crashed it."""
         self.config: dict | None = None
         """The configuration that the operators wrote last."""
@@ -65,7 +65,7 @@
         task.add_done_callback(self._restart_tasks.discard)
 
     async def _async_restart(self, endpoint: EndpointStandin) -> None:
-        await asyncio.sleep(self.away_s)
+        await asyncio.sleep(self.restart_delay_s)
         host, _, port = endpoint.address.rpartition(":")
         await self._async_listen(endpoint, host, int(port))
         self.register(endpoint.name)
@@ -79,9 +79,9 @@
         self.config = config
         return self.store.put("op", "config", config)
 
-    async def async_restore(self, copy: StoreSnapshot) -> None:
+    async def async_restore(self, snapshot: StoreSnapshot) -> None:
         """Restore a store snapshot, then rewrite configuration and registrations."""
-        self.store.restore(copy)
+        self.store.restore(snapshot)
         await asyncio.sleep(REWRITE_DELAY_S)
         if self.config is not None:
             self.configure(self.config)
@@ -139,7 +139,7 @@
                     "orders": e.orders,
                     "models": e.models,
                     "cancelled": e.cancelled,
-                    "ends": e.ends,
+                    "ends": e.crash_count,
                     "deadly_s": e.crash_runs_s,
                     "arrived_s": e.arrived_s,
                     "told_s": e.signaled_s,
@@ -161,7 +161,7 @@
 
     async def async_copy(self, request: web.Request) -> web.Response:
         """Keep a snapshot of the store."""
-        self._snapshot = self._machines.store.copy()
+        self._snapshot = self._machines.store.snapshot()
         return json_response({"ver": self._snapshot.version})
 
     async def async_restore(self, request: web.Request) -> web.Response:
--- a/standins/prepared_endpoint.py
+++ b/standins/prepared_endpoint.py
@@ -15,7 +15,7 @@
 from .web import json_response
 
 TOKEN_INTERVAL_S = 0.005
-DEADLY = b"deadly"
+CRASH_BODY = b"deadly"
 """A request body that crashes every endpoint that runs it."""
 CRASH_DELAY_S = 0.02
 """How long such a request runs before it crashes the endpoint."""
@@ -79,14 +79,14 @@
         self.state = "ready"
         self.faults = EndpointFaults()
         self.runs: list[str] = []
-        self.seen: list[dict[str, str]] = []
+        self.received_headers: list[dict[str, str]] = []
         self.arrived_s: list[float] = []
         """Arrival times of requests, on the monotonic clock of the process."""
         self.signaled_s: list[float] = []
         """When answers without a stream carried signal headers, on the same clock."""
         self.orders: list[dict] = []
         self.cancelled: list[str] = []
-        self.ends = 0
+        self.crash_count = 0
         self.crash_runs_s: list[float] = []
         """Start times of runs that crashed it, on the clock of the process."""
         self.born_ms: int | None = None
@@ -121,7 +121,7 @@
 
     def restart(self) -> None:
         """Reset the state, as a new process under the same id would."""
-        self.ends += 1
+        self.crash_count += 1
         self._start_new_process()
         self.sequence = 0
         self.is_busy = False
@@ -202,7 +202,7 @@
     async def _async_run(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.read()
         request_id = request.headers.get("X-Request-Id", "")
-        self.seen.append(dict(request.headers))
+        self.received_headers.append(dict(request.headers))
         model, _, adapter = request.headers.get("X-Model", "").partition("/")
         if model and adapter not in ["", *self.models.get(model, [])]:
             return web.Response(status=421)
@@ -215,7 +215,7 @@
         if self.faults.pause_s:
             return self._reject_with_pause()
         self.runs.append(request_id)
-        if body == DEADLY:
+        if body == CRASH_BODY:
             self.crash_runs_s.append(time.monotonic())
             await asyncio.sleep(CRASH_DELAY_S)
             self.on_crash(self)
--- a/tests/customers/test_buckets.py
+++ b/tests/customers/test_buckets.py
@@ -34,7 +34,7 @@
 
 def test_start_allowance_is_granted_once():
     bucket = ShareBucket(QUOTA, BOUNDS, 0.0, 0.0)
-    bucket.start_afresh(0.01)
+    bucket.add_start_allowance(0.01)
     assert bucket.level == 0
     bucket.update_share(1 / 8, 0.1)
     start = 1000 * START_S + START_SHARE * MARGIN
@@ -68,14 +68,14 @@
     lent = lender.lend(200, 0.5, 0.0)
     assert lent == 200
     assert lender.level == pytest.approx(CAPACITY / 2 - 200)
-    assert borrower.take_with(150, lent, 0.0)
+    assert borrower.take_with_loan(150, lent, 0.0)
     assert borrower.level == pytest.approx(50)
 
 
 def test_insufficient_loan_is_kept():
     borrower = make_bucket(0.5)
     borrower.take(borrower.level, 0.0)
-    assert not borrower.take_with(500, 300, 0.0)
+    assert not borrower.take_with_loan(500, 300, 0.0)
     assert borrower.level == pytest.approx(300)
 
 
--- a/tests/customers/test_quota_machine.py
+++ b/tests/customers/test_quota_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from chutelink.customers.buckets import QuotaBounds, ShareBucket
-from chutelink.customers.const import LENT_SHARE, START_S
+from chutelink.customers.const import MAX_LENT_SHARE, START_S
 from chutelink.customers.model import Quota, QuotaUnit
 
 DAEMONS = 4
@@ -77,7 +77,7 @@
     @rule(lender=NUMBERS, borrower=NUMBERS, amount=AMOUNTS)
     def lend(self, lender, borrower, amount):
         if lender != borrower and self.is_up(lender):
-            lent = self.buckets[lender].lend(amount, LENT_SHARE, self.now_s)
+            lent = self.buckets[lender].lend(amount, MAX_LENT_SHARE, self.now_s)
             self.loans.append((borrower, lent))
 
     @rule(cost=AMOUNTS, is_lost=st.booleans())
@@ -87,7 +87,7 @@
         number, lent = self.loans.pop(0)
         if is_lost or not self.is_up(number):
             return
-        if self.buckets[number].take_with(cost, lent, self.now_s):
+        if self.buckets[number].take_with_loan(cost, lent, self.now_s):
             self.admitted.append((self.now_s, cost))
 
     @rule(number=NUMBERS)
@@ -98,7 +98,7 @@
             began_s = self.down_until_s[number]
             bucket = ShareBucket(QUOTA, BOUNDS, 1 / DAEMONS, began_s)
             if began_s - self.began_s[number] >= BOUNDS.window_s:
-                bucket.start_afresh(began_s)
+                bucket.add_start_allowance(began_s)
             self.began_s[number] = began_s
             self.buckets[number] = bucket
 
--- a/tests/customers/test_quotas.py
+++ b/tests/customers/test_quotas.py
@@ -8,12 +8,12 @@
 
 from chutelink.customers.const import LOAN_TIMEOUT_S
 from chutelink.customers.holders import HolderView
+from chutelink.customers.messages import Loan, LoanRequest
 from chutelink.customers.model import Customer, Quota, QuotaUnit
-from chutelink.customers.news import Loan, LoanRequest
 from chutelink.customers.quotas import QuotaVerdict
 
-from ..fakes import make_core, make_quotas
-from ..virtual_time import run_virtually
+from ..fakes import make_core, make_quota_manager
+from ..virtual_time import run_in_virtual_time
 
 DELAY_S = 0.003
 CUSTOMER = Customer(
@@ -35,21 +35,23 @@
             name = f"d{number}"
             core = make_core(name)
             core.clock = loop.time
-            manager = make_quotas(core, is_lending=is_lending)
-            manager.take_view(HolderView(name, names))
+            manager = make_quota_manager(core, is_lending=is_lending)
+            manager.update_holder_view(HolderView(name, names))
             manager.sync({})
             manager.sync(CUSTOMERS)
             manager.send = self.deliver
             manager.linked = lambda: set(self.managers)
             self.managers[name] = manager
 
-    def deliver(self, to: str, news: LoanRequest | Loan) -> None:
+    def deliver(self, to: str, message: LoanRequest | Loan) -> None:
         self.sent += 1
-        if {to, news.daemon} & self.disconnected:
+        if {to, message.daemon} & self.disconnected:
             return
         manager = self.managers[to]
-        take = manager.take_loan if isinstance(news, Loan) else manager.take_request
-        asyncio.get_running_loop().call_later(DELAY_S, take, news)
+        take = (
+            manager.handle_loan if isinstance(message, Loan) else manager.handle_request
+        )
+        asyncio.get_running_loop().call_later(DELAY_S, take, message)
 
     async def async_admit_at(self, number: int, tokens: int | None) -> QuotaVerdict:
         manager = self.managers[f"d{number}"]
@@ -73,17 +75,17 @@
         fixed = Fleet(8, is_lending=False)
         assert await fixed.async_admit_at(0, 400) is QuotaVerdict.OVER
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 def test_daemon_without_a_share_borrows_the_whole_cost():
     async def main():
         fleet = Fleet(8)
         others = frozenset(f"d{number}" for number in range(1, 8))
-        fleet.managers["d0"].take_view(HolderView("d0", others))
+        fleet.managers["d0"].update_holder_view(HolderView("d0", others))
         assert await fleet.async_admit_at(0, 300) is QuotaVerdict.LENT
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 def test_disconnected_daemon_admits_only_its_own_share():
@@ -96,7 +98,7 @@
         waited_s = asyncio.get_running_loop().time() - started_s
         assert waited_s <= LOAN_TIMEOUT_S + 0.01
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 def test_loans_are_not_requested_for_each_request_over_the_quota():
@@ -107,7 +109,7 @@
         # One round of loan requests and answers for 100 simultaneous requests.
         assert fleet.sent == 14
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 def test_late_loans_refill_the_share_and_invalid_ones_are_ignored():
@@ -116,13 +118,13 @@
         manager = fleet.managers["d0"]
         await fleet.async_admit_at(0, int(fleet.level(0)) - 1)
         level = fleet.level(0)
-        manager.take_loan(Loan("d1", 99, "acme", 40.0))
+        manager.handle_loan(Loan("d1", 99, "acme", 40.0))
         assert fleet.level(0) == pytest.approx(level + 40, abs=1)
-        manager.take_loan(Loan("d1", 99, "nobody", 40.0))
-        manager.take_loan(Loan("d1", 99, "acme", -1e9))
+        manager.handle_loan(Loan("d1", 99, "nobody", 40.0))
+        manager.handle_loan(Loan("d1", 99, "acme", -1e9))
         assert fleet.level(0) == pytest.approx(level + 40, abs=1)
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 def test_cancelled_request_returns_its_loans():
@@ -138,7 +140,7 @@
         await asyncio.sleep(10 * DELAY_S)
         assert fleet.level(0) > before
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 def test_request_that_did_not_run_is_refunded():
@@ -147,11 +149,11 @@
         manager = fleet.managers["d0"]
         before = fleet.level(0)
         decision = await manager.async_admit(CUSTOMER, 500)
-        manager.give_back(CUSTOMER, decision.cost)
+        manager.refund(CUSTOMER, decision.cost)
         assert fleet.level(0) == pytest.approx(before)
         assert manager.uses["acme"].admitted == 0
 
-    run_virtually(main())
+    run_in_virtual_time(main())
 
 
 @pytest.mark.parametrize(("tokens", "cost"), [(None, 50), (0, 0), (700, 700), (-5, 0)])
@@ -170,4 +172,4 @@
         decision = await manager.async_admit(free, 10**9)
         assert decision.verdict is QuotaVerdict.UNLIMITED
 
-    run_virtually(main())
+    run_in_virtual_time(main())
--- a/tests/customers/test_web.py
+++ b/tests/customers/test_web.py
@@ -14,7 +14,7 @@
 from chutelink.customers.web import CustomerHandlers
 from chutelink.settings import PlatformSection
 
-from ..fakes import make_core, make_quotas
+from ..fakes import make_core, make_quota_manager
 
 CUSTOMER = Customer("acme", ("h",), quota=Quota(QuotaUnit.TOKENS, 1000.0, 1000.0))
 
@@ -35,8 +35,8 @@
         daemons, runners = [], []
         for name in sorted(names):
             core = make_core(name)
-            manager = make_quotas(core)
-            manager.take_view(HolderView(name, names))
+            manager = make_quota_manager(core)
+            manager.update_holder_view(HolderView(name, names))
             manager.sync({})
             manager.sync({"acme": CUSTOMER})
             await manager.async_admit(CUSTOMER, 300)
--- a/tests/director/test_ledger_machine.py
+++ b/tests/director/test_ledger_machine.py
@@ -96,7 +96,7 @@
         if fault is Fault.LATE:
             machine.delayed.append(order)
             raise EndpointFailed("no answer", step="endpoint.order")
-        answer = machine.engine.take_order(order)
+        answer = machine.engine.apply_order(order)
         machine.delivered.append(order)
         if fault is Fault.LOSE_ANSWER:
             raise EndpointFailed("no answer", step="endpoint.order")
@@ -261,7 +261,7 @@
     @rule(is_busy=st.booleans())
     def change_requests(self, is_busy):
         """Start or end requests; an artifact stays in memory while it has any."""
-        for artifact, kept in list(self.engine.held.items()):
+        for artifact, kept in list(self.engine.resident_artifacts.items()):
             kept.running = int(is_busy)
             self.engine._free_if_drained(artifact)
 
@@ -274,19 +274,19 @@
 
     def deliver_to_engine(self, order):
         async def async_take():
-            self.engine.take_order(order)
+            self.engine.apply_order(order)
 
         self.loop.run_until_complete(async_take())
 
-    @precondition(lambda self: self.engine.account.orders > 8)
+    @precondition(lambda self: self.engine.stats.orders > 8)
     @rule()
     def restart_engine(self):
-        self.overcommits += self.engine.account.overcommits
+        self.overcommits += self.engine.stats.overcommits
         self.start_engine()
 
     @invariant()
     def engine_memory_is_not_overcommitted(self):
-        assert self.overcommits + self.engine.account.overcommits == []
+        assert self.overcommits + self.engine.stats.overcommits == []
         assert max(self.engine.used_mb()) <= MEMORY_MB
 
     @invariant()
@@ -319,10 +319,10 @@
         machine.step(0, fault)
     for _ in range(4):
         machine.steps_without_faults(0)
-    held = {
+    resident_artifacts = {
         a.name
-        for a, h in machine.engine.held.items()
+        for a, h in machine.engine.resident_artifacts.items()
         if h.state is ArtifactState.LOADED
     }
-    assert held == {"first", "small", "small-x"}
+    assert resident_artifacts == {"first", "small", "small-x"}
     machine.teardown()
--- a/tests/director/test_orders.py
+++ b/tests/director/test_orders.py
@@ -19,7 +19,7 @@
 from chutelink.ids import BootId, FencingNumber, WriteId
 from chutelink.store import Transaction, Write
 from chutelink.systems.reconcile import Action, ActionKind
-from chutelink.tables.endpoints import ArtifactState, EndpointReport, HeldArtifact
+from chutelink.tables.endpoints import ArtifactState, EndpointReport, ReportedArtifact
 from chutelink.tables.ledger import Claim, ClaimState, LedgerRow
 from chutelink.tables.state import StateTable
 
@@ -114,7 +114,7 @@
         announced.append((name, executor._state.ledger["e1"].row.holds(MODEL)))
 
     executor.on_loaded = record_announcement
-    held = HeldArtifact("m", "1", ArtifactState.LOADED, (0,), 60, FencingNumber(1))
+    held = ReportedArtifact("m", "1", ArtifactState.LOADED, (0,), 60, FencingNumber(1))
     report = EndpointReport(row.boot_id, artifacts=(held,))
     asyncio.run(executor.async_apply_report(FLEET.endpoints["e1"], report))
     assert announced == [("e1", False)]
--- a/tests/director/test_placer.py
+++ b/tests/director/test_placer.py
@@ -48,22 +48,22 @@
         return await super().async_read(prefix, after_version)
 
 
-def make_keeper(version, text):
-    keeper = SimpleNamespace(current=make_configuration(version, text))
-    switch_configuration(keeper, version, text)
-    return keeper
+def make_config_manager(version, text):
+    config_manager = SimpleNamespace(current=make_configuration(version, text))
+    switch_configuration(config_manager, version, text)
+    return config_manager
 
 
-def switch_configuration(keeper, version, text):
-    keeper.current = make_configuration(version, text)
-    keeper.version = version
-    keeper.fleet = keeper.current.fleet
+def switch_configuration(config_manager, version, text):
+    config_manager.current = make_configuration(version, text)
+    config_manager.version = version
+    config_manager.fleet = config_manager.current.fleet
 
 
-def make_placer(keeper, table):
+def make_placer(config_manager, table):
     core = make_core()
     endpoints = EndpointTable()
-    endpoints.sync(keeper.current.fleet)
+    endpoints.sync(config_manager.current.fleet)
     endpoints.note_report("e", EndpointReport(BootId("b")), 1.0, 1.0)
     leases = SimpleNamespace(
         held=lambda: ["a"], check_held=lambda name, step: 0, lose=lambda name: None
@@ -73,7 +73,7 @@
     state.put_health("a", HealthRow(usable=("e",)), 1)
     placer = Placer(
         core,
-        keeper,
+        config_manager,
         table,
         endpoints,
         SimpleNamespace(),
@@ -89,11 +89,11 @@
 
 
 def test_configuration_change_during_a_tick_is_planned_in_the_next_tick():
-    keeper = make_keeper(2, WITH_P)
+    config_manager = make_config_manager(2, WITH_P)
     table = SwitchingTable()
-    core, placer = make_placer(keeper, table)
+    core, placer = make_placer(config_manager, table)
 
-    table.on_read = lambda: switch_configuration(keeper, 3, BASE)
+    table.on_read = lambda: switch_configuration(config_manager, 3, BASE)
     asyncio.run(placer._async_tick())
     core.now_s += 0.25
     asyncio.run(placer._async_tick())
--- a/tests/endpoints/test_monitor.py
+++ b/tests/endpoints/test_monitor.py
@@ -12,7 +12,7 @@
 from chutelink.tables.endpoints import EndpointTable
 
 from ..fakes import make_core
-from ..virtual_time import run_virtually
+from ..virtual_time import run_in_virtual_time
 
 LEAVING_BOUND_S = 3.0
 OPA_ENGINES = 9
@@ -71,7 +71,7 @@
         assert len(polled_s) == 6
         assert polled_s[3] - polled_s[0] >= monitor.interval_s()
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_requested_report_is_polled_immediately():
@@ -96,4 +96,4 @@
         assert len(polled_s) == polls_before + 1
         await monitor.on_stop()
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
--- a/tests/endpoints/test_news.py
+++ b/tests/endpoints/test_notifications.py
@@ -6,7 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chutelink.endpoints.news import EndpointLoaded, decode_loaded, encode_loaded
+from chutelink.endpoints.notifications import (
+    EndpointLoaded,
+    decode_loaded,
+    encode_loaded,
+)
 from chutelink.exceptions import PeerMessageInvalid
 
 
--- a/tests/entry/test_listeners.py
+++ b/tests/entry/test_listeners.py
@@ -9,7 +9,7 @@
 
 from chutelink.entry.listeners import open_listener
 
-from ..relaying.world import HOST, async_world
+from ..relaying.relay_harness import HOST, async_relay_harness
 
 
 def free_port() -> int:
@@ -58,15 +58,15 @@
 
 def test_early_requests_wait_for_the_configuration():
     async def async_main() -> tuple[int, int]:
-        async with async_world() as world:
-            await world.async_add("e1", "plain")
-            early = asyncio.ensure_future(async_status(world, "q1"))
+        async with async_relay_harness() as harness:
+            await harness.async_add("e1", "plain")
+            early = asyncio.ensure_future(async_status(harness, "q1"))
             await asyncio.sleep(0.02)
-            world.configure()
-            return await early, await async_status(world, "q2")
+            harness.configure()
+            return await early, await async_status(harness, "q2")
 
-    async def async_status(world, request_id: str) -> int:
-        async with world.request("/once/x", request_id) as response:
+    async def async_status(harness, request_id: str) -> int:
+        async with harness.request("/once/x", request_id) as response:
             return response.status
 
     assert asyncio.run(async_main()) == (200, 200)
--- a/tests/entry/test_message_router.py
+++ b/tests/entry/test_message_router.py
@@ -9,18 +9,18 @@
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.endpoints import PLACER_TIMEOUT_S, EndpointTable
 from chutelink.entry.message_router import MessageRouter
-from chutelink.entry.news import (
+from chutelink.entry.messages import (
     PendingLoad,
-    PlacementNews,
-    PlacerBeacon,
-    encode_news,
+    PlacementUpdate,
+    PlacerHeartbeat,
+    encode_entry_message,
 )
 from chutelink.entry.pending import PendingTable
 from chutelink.peers.messages import Broadcast
 from chutelink.quarantine.service import Quarantine
-from chutelink.relaying.retries import RetryShare
+from chutelink.relaying.retry_budget import RetryBudgetShare
 
-from ..fakes import make_core, make_quotas
+from ..fakes import make_core, make_quota_manager
 
 LOAD = PendingLoad("i-1", "m1", "", 4.0)
 
@@ -29,7 +29,7 @@
     def __init__(self):
         self.core = make_core("d3")
         self.pending = PendingTable()
-        self.mesh = SimpleNamespace(direct=set())
+        self.mesh = SimpleNamespace(direct_peers=set())
         known = SimpleNamespace(endpoints=EndpointTable())
         directory = SimpleNamespace(serving=list)
         self.router = MessageRouter(
@@ -39,9 +39,9 @@
             known,
             DemandTable(),
             self.pending,
-            RetryShare(0.2, 50, 10.0),
+            RetryBudgetShare(0.2, 50, 10.0),
             Quarantine(self.core),
-            make_quotas(self.core),
+            make_quota_manager(self.core),
         )
         self.holders = []
         self.router.lease = SimpleNamespace(
@@ -49,7 +49,7 @@
         )
 
     def deliver(self, message):
-        body = encode_news(message)
+        body = encode_entry_message(message)
         self.router.handle_broadcast(Broadcast(message.daemon, "boot", 1, body))
 
 
@@ -60,18 +60,18 @@
 
 def test_late_messages_of_a_previous_placer_are_ignored(harness):
     """It froze after writing its last message, which arrives when it resumes."""
-    harness.deliver(PlacementNews("d2", 2, [], [LOAD]))
+    harness.deliver(PlacementUpdate("d2", 2, [], [LOAD]))
     harness.core.now_s += 0.5
-    harness.deliver(PlacementNews("d1", 1, [], []))
-    harness.deliver(PlacerBeacon("d1", 1))
+    harness.deliver(PlacementUpdate("d1", 1, [], []))
+    harness.deliver(PlacerHeartbeat("d1", 1))
     assert harness.pending.ready_s("m1", "", harness.core.now_s) is not None
-    assert harness.mesh.direct == {"d2"}
+    assert harness.mesh.direct_peers == {"d2"}
     assert harness.holders == [("d2", 2)]
 
 
 def test_placer_of_a_lower_term_is_accepted_after_the_placer_timeout(harness):
     """The lease row was lost, so terms started again."""
-    harness.deliver(PlacerBeacon("d2", 7))
+    harness.deliver(PlacerHeartbeat("d2", 7))
     harness.core.now_s += PLACER_TIMEOUT_S + 0.1
-    harness.deliver(PlacerBeacon("d1", 1))
-    assert harness.mesh.direct == {"d1"}
+    harness.deliver(PlacerHeartbeat("d1", 1))
+    assert harness.mesh.direct_peers == {"d1"}
--- a/tests/entry/test_pending.py
+++ b/tests/entry/test_pending.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from chutelink.entry.news import PendingLoad
+from chutelink.entry.messages import PendingLoad
 from chutelink.entry.pending import OVERDUE_TOLERANCE_S, PendingTable
 
 
--- a/tests/entry/test_state.py
+++ b/tests/entry/test_state.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from chutelink.entry.news import EndpointPlacement, PlacementNews
+from chutelink.entry.messages import EndpointPlacement, PlacementUpdate
 from chutelink.entry.state import EntryState
-from chutelink.platform.adapter import PreparedMachines
+from chutelink.platform.adapter import PreparedMachinesAdapter
 from chutelink.quarantine.service import Quarantine
-from chutelink.watching.followed import RowChange
+from chutelink.watching.table_state import RowChange
 
 from ..fakes import make_core
 from .test_message_router import RouterHarness
@@ -54,10 +54,10 @@
         self.core = make_core()
         self.core.daemon.peer_key = "key"
         self.quarantine = Quarantine(self.core)
-        self.known = EntryState(self.core, PreparedMachines(), self.quarantine)
+        self.known = EntryState(self.core, PreparedMachinesAdapter(), self.quarantine)
 
     def apply_row(self, name, value):
-        self.known.take_row(RowChange(f"endpoints/{name}", value))
+        self.known.apply_row(RowChange(f"endpoints/{name}", value))
 
     def usable(self):
         rows = self.known.endpoints.of_service("s", self.core.clock())
@@ -80,14 +80,14 @@
     harness = StateHarness()
     harness.apply_row("i-1", ROW)
     row = harness.known.endpoints.rows["i-1"]
-    row.take_models(57, {"m7": frozenset()})
+    row.update_models(57, {"m7": frozenset()})
     harness.known.health.note_unreachable("i-1", harness.core.clock())
     harness.apply_row("i-1", ROW | {"born": 2000, "models": []})
     row = harness.known.endpoints.rows["i-1"]
     assert not row.holds("m7")
     assert harness.known.health.is_reachable("i-1", harness.core.clock())
     # The order sequence starts again and must not be treated as outdated.
-    row.take_models(1, {"m1": frozenset()})
+    row.update_models(1, {"m1": frozenset()})
     assert row.holds("m1")
 
 
@@ -105,11 +105,11 @@
         harness.apply_row("i-1", ROW | {"born": 2000, "models": []})
         messages.router._known = harness.known
         old = EndpointPlacement("i-1", 57, {"m7": []}, 1000)
-        messages.deliver(PlacementNews("d2", 1, [old], []))
+        messages.deliver(PlacementUpdate("d2", 1, [old], []))
         row = harness.known.endpoints.rows["i-1"]
         assert not row.holds("m7")
         new = EndpointPlacement("i-1", 1, {"m1": []}, 2000)
-        messages.deliver(PlacementNews("d2", 1, [new], []))
+        messages.deliver(PlacementUpdate("d2", 1, [new], []))
         assert row.holds("m1")
 
     asyncio.run(async_test())
@@ -122,7 +122,7 @@
         harness.apply_row("i-1", ROW)
         messages.router._known = harness.known
         new = EndpointPlacement("i-1", 1, {"m1": []}, 2000)
-        messages.deliver(PlacementNews("d2", 1, [new], []))
+        messages.deliver(PlacementUpdate("d2", 1, [new], []))
         row = harness.known.endpoints.rows["i-1"]
         assert row.holds("m1") and not row.holds("m")
 
@@ -142,7 +142,7 @@
 def test_lapsed_registration_notifies_the_quarantine():
     harness = StateHarness()
     notified = []
-    harness.quarantine.note_vanished = notified.append
+    harness.quarantine.note_registration_lapsed = notified.append
     harness.apply_row("i-1", ROW)
     harness.apply_row("i-2", ROW | {"state": "draining"})
     for name in ("i-1", "i-2"):
@@ -156,7 +156,7 @@
     harness.quarantine.note_restarted = notified.append
     harness.apply_row("i-1", ROW)
     harness.known.health.note_unreachable("i-1", harness.core.clock())
-    harness.known.endpoints.take_models("i-1", 2000, 1, {"m1": frozenset()})
+    harness.known.endpoints.update_models("i-1", 2000, 1, {"m1": frozenset()})
     harness.apply_row("i-1", ROW | {"born": 2000})
     assert notified == ["i-1@1000"]
     assert harness.known.health.is_reachable("i-1", harness.core.clock())
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -9,7 +9,7 @@
 from opentelemetry.trace import NoOpTracer
 
 from chutelink.customers.buckets import QuotaBounds
-from chutelink.customers.quotas import QuotaKeeper
+from chutelink.customers.quotas import QuotaManager
 from chutelink.exceptions import (
     PlatformUnavailable,
     TransactionConflict,
@@ -130,10 +130,12 @@
     return core
 
 
-def make_quotas(core: SimpleNamespace, *, is_lending: bool = True) -> QuotaKeeper:
+def make_quota_manager(
+    core: SimpleNamespace, *, is_lending: bool = True
+) -> QuotaManager:
     """Return a daemon's quota manager, with round bounds."""
     bounds = QuotaBounds(window_s=8.0, excess_share=0.1, slack=0.0)
-    return QuotaKeeper(core, bounds, is_lending=is_lending)
+    return QuotaManager(core, bounds, is_lending=is_lending)
 
 
 def make_exchange(request_id: str) -> SimpleNamespace:
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -14,7 +14,7 @@
     ArtifactState,
     EndpointReport,
     EndpointTable,
-    HeldArtifact,
+    ReportedArtifact,
 )
 from chutelink.tables.requests import WaitingRequest
 
@@ -40,7 +40,7 @@
 
 def report(*versions: str) -> EndpointReport:
     held = tuple(
-        HeldArtifact("m", version, ArtifactState.LOADED, (0,), 20, FencingNumber(1))
+        ReportedArtifact("m", version, ArtifactState.LOADED, (0,), 20, FencingNumber(1))
         for version in versions
     )
     return EndpointReport(BootId("b"), artifacts=held)
--- a/tests/learning/test_speeds.py
+++ b/tests/learning/test_speeds.py
@@ -7,7 +7,7 @@
 from chutelink.entry.state import HealthTable, PrefixTable
 from chutelink.learning.durations import DurationTable
 from chutelink.learning.speeds import FIRST_EVENT_S, SpeedTable
-from chutelink.relaying.routing import Candidate, LeastLoss
+from chutelink.relaying.routing import LeastLoss, RoutingRequest
 
 from ..placing.test_placement import make_site
 
@@ -69,5 +69,5 @@
     learn(speeds, "m0", "i-1", 2.0)
     policy = LeastLoss(HealthTable(), PrefixTable(), speeds, DurationTable())
     rows = [make_site(name, {"m0": []}).endpoint for name in ("i-1", "i-2")]
-    request = Candidate("m0", "", TOKENS, (), (), "zone-a")
+    request = RoutingRequest("m0", "", TOKENS, (), (), "zone-a")
     assert policy.choose(rows, request, 1.0).record.id == "i-2"
--- a/tests/limits/test_pacer.py
+++ b/tests/limits/test_pacer.py
@@ -9,7 +9,7 @@
 from chutelink.limits.const import BURST_S, MAX_DELAY_S, MIN_LIMIT_PER_S
 from chutelink.limits.pacer import Pacer
 
-from ..rates import most_in_window
+from ..rates import max_events_in_window
 
 WINDOW_S = 4.0
 STEPS = st.lists(
@@ -34,7 +34,7 @@
 def test_no_window_exceeds_the_limit_and_a_burst(limit_per_s, steps):
     times_s = sends_s(Pacer(limit_per_s, 100.0), limit_per_s, steps)
     allowed = 1 + max(0.0, BURST_S * limit_per_s - 1) + WINDOW_S * limit_per_s
-    assert most_in_window(times_s, WINDOW_S) <= allowed + 1e-6
+    assert max_events_in_window(times_s, WINDOW_S) <= allowed + 1e-6
 
 
 @given(st.floats(0.2, 200.0), st.floats(0.2, 200.0), STEPS, STEPS)
@@ -44,7 +44,7 @@
     changed_s = 100.0 + sum(pause_s for pause_s, _ in first) + MAX_DELAY_S
     times_s = sends_s(pacer, after, second, changed_s)
     allowed = 1 + max(0.0, BURST_S * after - 1) + WINDOW_S * after
-    assert most_in_window(times_s, WINDOW_S) <= allowed + 1e-6
+    assert max_events_in_window(times_s, WINDOW_S) <= allowed + 1e-6
 
 
 @pytest.mark.parametrize("limit_per_s", [0.0, MIN_LIMIT_PER_S / 2])
--- a/tests/limits/test_permits.py
+++ b/tests/limits/test_permits.py
@@ -9,12 +9,12 @@
 
 from chutelink.ids import DaemonId
 from chutelink.limits.const import BURST_S, PERMIT_RETRY_PAUSE_S, PERMIT_TIMEOUT_S
-from chutelink.limits.news import PermitRequest
-from chutelink.limits.permits import PermitDesk
+from chutelink.limits.messages import PermitRequest
+from chutelink.limits.permits import PermitManager
 
 from ..fakes import make_core
-from ..rates import LIMIT_WINDOW_S, allowed_in_window, most_in_window
-from ..virtual_time import run_virtually
+from ..rates import LIMIT_WINDOW_S, max_events_in_window, max_requests_in_window
+from ..virtual_time import run_in_virtual_time
 
 DELAY_S = 0.002
 
@@ -28,10 +28,10 @@
         self.managers = {name: self._make_manager(name) for name in sorted(self.names)}
         self.sent_s: list[float] = []
 
-    def _make_manager(self, name: DaemonId) -> PermitDesk:
+    def _make_manager(self, name: DaemonId) -> PermitManager:
         core = make_core(name)
         core.clock = asyncio.get_running_loop().time
-        manager = PermitDesk(core)
+        manager = PermitManager(core)
         manager.serving = lambda: self.names
         manager.linked = lambda: self.names - {name}
         manager.send = self._send
@@ -40,19 +40,19 @@
     def restart(self, name: DaemonId) -> None:
         self.managers[name] = self._make_manager(name)
 
-    def _send(self, to: DaemonId, news) -> None:
+    def _send(self, to: DaemonId, message) -> None:
         if to in self.unreachable:
             return
         manager = self.managers[to]
-        is_request = isinstance(news, PermitRequest)
-        take = manager.take_request if is_request else manager.take_answer
-        asyncio.get_running_loop().call_later(DELAY_S, take, news)
+        is_request = isinstance(message, PermitRequest)
+        take = manager.handle_request if is_request else manager.handle_answer
+        asyncio.get_running_loop().call_later(DELAY_S, take, message)
 
     async def async_overload(self, name, limit_per_s, end_s, rng, max_delay_s=0.3):
         loop = asyncio.get_running_loop()
         while loop.time() < end_s:
             await asyncio.sleep(rng.expovariate(20.0))
-            permit = await self.managers[name].async_ask(
+            permit = await self.managers[name].async_request_permit(
                 "i-1", 1, limit_per_s, max_delay_s
             )
             if permit.is_granted:
@@ -77,13 +77,13 @@
     async def async_test():
         fleet = Fleet(size)
         await async_overload_all(fleet, limit_per_s, 12.0, seed=size)
-        max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
+        max_sent = max_events_in_window(fleet.sent_s, LIMIT_WINDOW_S)
         burst = 1 + max(0.0, BURST_S * limit_per_s - 1)
         assert max_sent <= limit_per_s * LIMIT_WINDOW_S + burst + 1
         offered = min(limit_per_s, 15.0 * size)
         assert len(fleet.sent_s) >= 0.8 * offered * 12.0 - 2
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -96,10 +96,10 @@
         for name in sorted(fleet.names)[:4]:
             fleet.managers[name].serving = lambda: fleet.names - {joined}
         await async_overload_all(fleet, 1.0, 12.0, seed)
-        max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
-        assert max_sent <= allowed_in_window(1.0)
+        max_sent = max_events_in_window(fleet.sent_s, LIMIT_WINDOW_S)
+        assert max_sent <= max_requests_in_window(1.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_restart_of_the_pacing_daemon_allows_no_burst():
@@ -110,10 +110,10 @@
         for number in range(6):
             loop.call_later(1.5 + number, fleet.restart, pacing)
         await async_overload_all(fleet, 1.0, 12.0, seed=1)
-        max_sent = most_in_window(fleet.sent_s, LIMIT_WINDOW_S)
-        assert max_sent <= allowed_in_window(1.0)
+        max_sent = max_events_in_window(fleet.sent_s, LIMIT_WINDOW_S)
+        assert max_sent <= max_requests_in_window(1.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_no_permit_while_the_pacing_daemon_does_not_answer():
@@ -123,13 +123,15 @@
         requesting = min(fleet.names - {pacing})
         fleet.unreachable.add(pacing)
         started_s = asyncio.get_running_loop().time()
-        permit = await fleet.managers[requesting].async_ask("i-1", 1, 5.0, 0.3)
+        permit = await fleet.managers[requesting].async_request_permit(
+            "i-1", 1, 5.0, 0.3
+        )
         assert not permit.is_granted
         assert permit.delay_s == pytest.approx(0.3 + PERMIT_RETRY_PAUSE_S)
         took_s = asyncio.get_running_loop().time() - started_s
         assert took_s == pytest.approx(PERMIT_TIMEOUT_S, abs=0.001)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_no_permit_without_a_link_to_the_pacing_daemon():
@@ -138,10 +140,12 @@
         pacing = fleet.managers["d0"].pacing_daemon("i-1")
         requesting = min(fleet.names - {pacing})
         fleet.managers[requesting].linked = set
-        permit = await fleet.managers[requesting].async_ask("i-1", 1, 5.0, 0.3)
+        permit = await fleet.managers[requesting].async_request_permit(
+            "i-1", 1, 5.0, 0.3
+        )
         assert not permit.is_granted
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_daemon_that_knows_no_other_paces_by_itself():
@@ -149,11 +153,11 @@
         fleet = Fleet(1)
         manager = fleet.managers["d0"]
         manager.serving = set
-        assert not (await manager.async_ask("i-1", 1, 5.0, 0.0)).is_granted
+        assert not (await manager.async_request_permit("i-1", 1, 5.0, 0.0)).is_granted
         await asyncio.sleep(1.0)
-        assert (await manager.async_ask("i-1", 1, 5.0, 0.0)).is_granted
+        assert (await manager.async_request_permit("i-1", 1, 5.0, 0.0)).is_granted
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_new_process_of_an_endpoint_gets_a_new_pacer():
@@ -161,11 +165,11 @@
         fleet = Fleet(1)
         manager = fleet.managers["d0"]
         for _ in range(3):
-            assert (await manager.async_ask("i-1", 1, 5.0, 1.0)).is_granted
-        permit = await manager.async_ask("i-1", 2, 5.0, 1.0)
+            assert (await manager.async_request_permit("i-1", 1, 5.0, 1.0)).is_granted
+        permit = await manager.async_request_permit("i-1", 2, 5.0, 1.0)
         assert permit.delay_s == pytest.approx(0.2, abs=0.001)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_limit_holds_while_daemons_disagree_on_a_restart():
@@ -175,11 +179,11 @@
         granted = 0
         for number in range(200):
             await asyncio.sleep(0.02)
-            permit = await manager.async_ask("i-1", number % 2, 2.0, 0.7)
+            permit = await manager.async_request_permit("i-1", number % 2, 2.0, 0.7)
             granted += permit.is_granted
         assert granted <= 2 * (2.0 * 4.0 + 2)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_no_permit_from_a_daemon_that_does_not_pace_the_endpoint():
@@ -191,8 +195,10 @@
         requesting, other = sorted(fleet.names - {pacing})
         fleet.managers[requesting].serving = lambda: {other}
         for _ in range(20):
-            permit = await fleet.managers[requesting].async_ask("i-1", 1, 5.0, 0.3)
+            permit = await fleet.managers[requesting].async_request_permit(
+                "i-1", 1, 5.0, 0.3
+            )
             assert not permit.is_granted
             await asyncio.sleep(0.1)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
--- a/tests/peers/test_virtual_fleet.py
+++ b/tests/peers/test_virtual_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from chutelink.tables.members import MemberState
-from tests.virtual_time import run_virtually
+from tests.virtual_time import run_in_virtual_time
 
 from .virtual_fleet import LARGE_VMS_PER_DOMAIN, VirtualFleet
 
@@ -21,7 +21,7 @@
 def in_virtual_time(test):
     @functools.wraps(test)
     def run(*arguments, **fields):
-        run_virtually(test(*arguments, **fields))
+        run_in_virtual_time(test(*arguments, **fields))
 
     return run
 
--- a/tests/peers/virtual_fleet.py
+++ b/tests/peers/virtual_fleet.py
@@ -211,7 +211,7 @@
 
         def update_direct_links() -> None:
             serving = directory.serving()
-            mesh.direct = serving - {name} if name in serving else set()
+            mesh.direct_peers = serving - {name} if name in serving else set()
 
         mesh.on_members_changed = update_direct_links
         mesh.on_broadcast = lambda message: self.received[name].append(
--- a/tests/placing/placement_simulation.py
+++ b/tests/placing/placement_simulation.py
@@ -14,15 +14,15 @@
 from chutelink.entry.config import EngineSpec, ModelSpec
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.endpoints import Endpoint, EndpointRecord, EndpointState
-from chutelink.entry.news import ModelUse
+from chutelink.entry.messages import ModelUsage
 from chutelink.placing.changes import Change, PlacementView, Site
 from chutelink.placing.cold_load_limiter import ColdLoadLimiter
 from chutelink.placing.inventory import EndpointReport, Inventory
 from chutelink.placing.placement import PlacementPolicy
-from chutelink.relaying.waiting import (
-    RETRY_SHARE,
+from chutelink.relaying.model_wait import (
+    MAX_RETRY_DELAY_SHARE,
     ModelWait,
-    back_in_s,
+    model_retry_delay_s,
     wait_until_s,
 )
 
@@ -146,7 +146,7 @@
         record = EndpointRecord(name, "llm", "1:1", "a", EndpointState.READY, 48, held)
         inventory = Inventory(name)
         report = EndpointReport(0, False, dict(held), on_disk=tuple(held))
-        inventory.take_report(report, 0.0)
+        inventory.apply_report(report, 0.0)
         return Site(Endpoint(record), inventory)
 
     def run(self, time_s: float) -> None:
@@ -244,7 +244,9 @@
         if waiting.is_back or is_busy or not self._callers_retry:
             return True
         left_s = waiting.asked_s + RARE_DEADLINE_S - self.now_s
-        waiting.back_s = self.now_s + min(back_in_s(wait), RETRY_SHARE * left_s)
+        waiting.back_s = self.now_s + min(
+            model_retry_delay_s(wait), MAX_RETRY_DELAY_SHARE * left_s
+        )
         waiting.is_back = True
         return False
 
@@ -279,7 +281,7 @@
         if self.now_s <= self._warm_up_s:
             return
         uses = [
-            ModelUse(
+            ModelUsage(
                 name,
                 "",
                 self._arrivals[name],
--- a/tests/placing/placer_harness.py
+++ b/tests/placing/placer_harness.py
@@ -7,7 +7,7 @@
 
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.endpoints import EndpointRecord, EndpointState, EndpointTable
-from chutelink.entry.news import ModelUse, PlacementNews
+from chutelink.entry.messages import ModelUsage, PlacementUpdate
 from chutelink.entry.pending import PendingTable
 from chutelink.exceptions import EndpointFailed, EndpointUnreachable, LeaseNotHeld
 from chutelink.ids import ConfigVersion
@@ -153,9 +153,9 @@
         record = EndpointRecord(name, "llm", "1:1", "zone-a", ready, 8, held)
         self.table.put(record, 0.0)
 
-    def _record_sent(self, news):
-        if isinstance(news, PlacementNews):
-            self.sent.append(news)
+    def _record_sent(self, message):
+        if isinstance(message, PlacementUpdate):
+            self.sent.append(message)
 
     def _add(self, coroutine):
         task = asyncio.ensure_future(coroutine)
@@ -174,7 +174,7 @@
             await self.async_tick()
 
     def request_model(self, model, adapter=""):
-        uses = [ModelUse(model, adapter, 2, 0.2, 1), ModelUse("m0", "", 9, 0.3, 0)]
+        uses = [ModelUsage(model, adapter, 2, 0.2, 1), ModelUsage("m0", "", 9, 0.3, 0)]
         self.demand.take("d1", uses, self.core.now_s)
 
 
--- a/tests/placing/test_lease.py
+++ b/tests/placing/test_lease.py
@@ -16,14 +16,14 @@
     VALIDITY_S,
     PlacerLease,
 )
-from chutelink.store import UNREADABLE, RowPage, Transaction, WatchedTable, Write
+from chutelink.store import UNREADABLE, RowPage, Transaction, WatchableTable, Write
 
 from ..fakes import FakeTable, make_core
 
 GAP_S = 3.0
 
 
-class SharedTable(FakeTable, WatchedTable):
+class SharedTable(FakeTable, WatchableTable):
     """A table shared by several daemons."""
 
     async def async_watch(self, prefix, after_version, wait_s):
@@ -38,7 +38,11 @@
         self.core.clock = lambda: clock[0]
         self.sent = []
         self.lease = PlacerLease(
-            self.core, table, lambda: 0, GAP_S, lambda news: self.sent.append(news)
+            self.core,
+            table,
+            lambda: 0,
+            GAP_S,
+            lambda message: self.sent.append(message),
         )
 
     def tick(self) -> None:
@@ -110,7 +114,7 @@
     second.tick()
     asyncio.run(first.lease.async_release())
     assert not first.may_order()
-    second.lease.take_yield(first.sent[0])
+    second.lease.note_yield(first.sent[0])
     advance(clock, [second], 0.8)
     assert second.may_order()
 
@@ -167,9 +171,9 @@
 
 def test_a_yielded_lease_is_taken_before_it_expires(clock, table):
     first, second = (Contender(n, table, clock) for n in ("d1", "d2"))
-    news = make_yield(clock, table, first, second)
+    message = make_yield(clock, table, first, second)
     yielded_s = clock[0]
-    second.lease.take_yield(news)
+    second.lease.note_yield(message)
     advance(clock, [second], 0.8)
     assert second.may_order()
     assert clock[0] - yielded_s < EXPIRY_S
@@ -183,11 +187,11 @@
     Not observed in any benchmark run.
     """
     first, second = (Contender(n, table, clock) for n in ("d1", "d2"))
-    news = make_yield(clock, table, first, second)
+    message = make_yield(clock, table, first, second)
     advance(clock, [first], 0.3)
     assert first.may_order()
     second.lease.note_holder("d1", first.lease.term)
-    second.lease.take_yield(news)
+    second.lease.note_yield(message)
     for _ in range(10):
         advance(clock, [first, second], 0.1)
         assert not second.may_order()
@@ -224,7 +228,7 @@
     advance(clock, [first], GAP_S)
     asyncio.run(first.lease.async_release())
     copy = table.copy()
-    second.lease.take_yield(first.sent[0])
+    second.lease.note_yield(first.sent[0])
     advance(clock, [second], GAP_S + 1.0)
     assert second.may_order()
     table.restore(copy)
--- a/tests/placing/test_lease_machine.py
+++ b/tests/placing/test_lease_machine.py
@@ -56,30 +56,30 @@
         contender = self.contenders[name]
         contender.tick()
         self.table.is_out = was_out
-        self.undelivered += [(name, news) for news in contender.sent]
+        self.undelivered += [(name, message) for message in contender.sent]
         contender.sent.clear()
         if not self.are_yields_delayed:
             self.deliver_yields()
         if contender.lease.is_held:
-            self._deliver_beacon(name)
+            self._deliver_heartbeat(name)
 
-    def _deliver_beacon(self, name):
+    def _deliver_heartbeat(self, name):
         term = self.contenders[name].lease.term
         for other in self.contenders.values():
             other.lease.note_holder(name, term)
 
     @rule(steps=st.integers(1, 40), is_heard=st.booleans())
     def pass_time(self, steps, is_heard):
-        hear, self._deliver_beacon = (
-            self._deliver_beacon,
-            self._deliver_beacon if is_heard else lambda name: None,
+        hear, self._deliver_heartbeat = (
+            self._deliver_heartbeat,
+            self._deliver_heartbeat if is_heard else lambda name: None,
         )
         for _ in range(steps):
             self.clock[0] += STEP_S
             for name in NAMES:
                 self._tick(name)
             self.check_orders()
-        self._deliver_beacon = hear
+        self._deliver_heartbeat = hear
 
     @rule(name=WHO)
     def freeze(self, name):
@@ -120,10 +120,10 @@
     @rule()
     def deliver_yields(self):
         """Deliver pending yields, which may arrive after their holder has resumed."""
-        for sender, news in self.undelivered:
+        for sender, message in self.undelivered:
             for name, contender in self.contenders.items():
                 if name not in (sender, *self.frozen):
-                    contender.lease.take_yield(news)
+                    contender.lease.note_yield(message)
         self.undelivered.clear()
 
     @rule(name=WHO)
--- a/tests/placing/test_load_forecast.py
+++ b/tests/placing/test_load_forecast.py
@@ -8,7 +8,7 @@
 import pytest
 
 from chutelink.entry.demand import DemandTable
-from chutelink.entry.news import ModelUse
+from chutelink.entry.messages import ModelUsage
 from chutelink.placing.changes import PlacementView
 from chutelink.placing.load_forecast import forecast_loads
 from chutelink.placing.placement import DemandPlacement
@@ -47,7 +47,7 @@
 
 def test_requested_models_that_no_endpoint_loads_are_queued():
     demand = DemandTable()
-    demand.take("d1", [ModelUse(f"m{n}", "", 1, 0.1, 1, 1) for n in (1, 2)], 100.0)
+    demand.take("d1", [ModelUsage(f"m{n}", "", 1, 0.1, 1, 1) for n in (1, 2)], 100.0)
     policy = DemandPlacement()
     policy.plan(make_view([3.0, 4.0], demand))
     assert sorted(policy.queued) == ["m1", "m2"]
@@ -65,8 +65,8 @@
         harness.request_model("m1")
         harness.request_model("m2")
         await harness.async_tick(0.1)
-        queued = [load for news in harness.sent for load in news.queued]
-        loading = {load.model for news in harness.sent for load in news.loads}
+        queued = [load for message in harness.sent for load in message.queued]
+        loading = {load.model for message in harness.sent for load in message.loads}
         assert queued
         assert all(load.ready_in_s > 0 for load in queued)
         assert ENDPOINT_ID in harness.table.rows and loading
--- a/tests/placing/test_overload.py
+++ b/tests/placing/test_overload.py
@@ -5,7 +5,7 @@
 import pytest
 
 from chutelink.entry.demand import DemandTable
-from chutelink.entry.news import ModelUse
+from chutelink.entry.messages import ModelUsage
 from chutelink.limits.const import DOUBTFUL_S
 from chutelink.placing.overload import mark_overloaded
 
@@ -23,7 +23,7 @@
 
 def make_demand(*models):
     demand = DemandTable()
-    demand.take("d1", [ModelUse(m, "", ARRIVALS, 0.2, 0) for m in models], 100.0)
+    demand.take("d1", [ModelUsage(m, "", ARRIVALS, 0.2, 0) for m in models], 100.0)
     return demand
 
 
@@ -80,7 +80,7 @@
         await harness.async_start()
         for _ in range(6):
             harness.table.rows[ENDPOINT_ID].limit.note(0.5, harness.core.now_s)
-            uses = [ModelUse("m5", "", 1, 0.05, 1), ModelUse("m0", "", 20, 0.3, 0)]
+            uses = [ModelUsage("m5", "", 1, 0.05, 1), ModelUsage("m0", "", 20, 0.3, 0)]
             harness.demand.take("d1", uses, harness.core.now_s)
             await harness.async_tick(0.5)
         assert any("m5" in engine.models for engine in others)
--- a/tests/placing/test_placement.py
+++ b/tests/placing/test_placement.py
@@ -9,7 +9,7 @@
 from chutelink.entry.config import EngineSpec, ModelSpec
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.endpoints import Endpoint, EndpointRecord, EndpointState
-from chutelink.entry.news import ModelUse
+from chutelink.entry.messages import ModelUsage
 from chutelink.placing.capacity import used_mb
 from chutelink.placing.changes import ChangeReason, PlacementView, Site
 from chutelink.placing.inventory import EndpointReport, Inventory
@@ -36,13 +36,13 @@
     held = {model: frozenset(adapters) for model, adapters in models.items()}
     record = EndpointRecord(name, "llm", "1:1", "zone-a", EndpointState.READY, 8, held)
     inventory = Inventory(name)
-    inventory.take_report(EndpointReport(0, is_busy, held, **report), now_s)
+    inventory.apply_report(EndpointReport(0, is_busy, held, **report), now_s)
     return Site(Endpoint(record), inventory)
 
 
 def make_view(sites, uses, now_s=100.0, cold_loads=2, engine=None) -> PlacementView:
     demand = DemandTable()
-    demand.take("d1", [ModelUse(*use) for use in uses], now_s)
+    demand.take("d1", [ModelUsage(*use) for use in uses], now_s)
     return PlacementView(engine or make_engine(), sites, {}, demand, cold_loads, now_s)
 
 
@@ -297,8 +297,8 @@
     uses = [("m5", "", 2, 0.1, 0), ("m6", "", 1, 0.1, 0)]
     view = make_view([site], uses, engine=engine)
     for at_s, model, waiting in ((100.5, "m6", 0), (102.0, "m4", 1)):
-        busy = ModelUse("m0", "", 200, 1.0, 0)
-        uses = [busy, ModelUse(model, "", 1, 0.1, waiting)]
+        busy = ModelUsage("m0", "", 200, 1.0, 0)
+        uses = [busy, ModelUsage(model, "", 1, 0.1, waiting)]
         view.demand.take("d1", uses, at_s)
     later = msgspec.structs.replace(view, now_s=102.0)
     assert ModelResidency(later).eviction_candidates(site, "m4", is_replica=False) == [
--- a/tests/placing/test_placer.py
+++ b/tests/placing/test_placer.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from chutelink.entry.news import ModelUse, PendingLoad
+from chutelink.entry.messages import ModelUsage, PendingLoad
 from chutelink.placing.changes import Change
 from chutelink.placing.inventory import (
     EndpointReport,
@@ -43,7 +43,7 @@
         await harness.async_start()
         harness.request_model("m1")
         await harness.async_tick(0.1)
-        first = next(news for news in harness.sent if news.loads)
+        first = next(message for message in harness.sent if message.loads)
         assert set(first.endpoints[0].models) == {"m0"}
 
     run(async_test)
@@ -68,7 +68,7 @@
         await harness.async_start()
         harness.engine.is_unreachable = True
         harness.request_model("m0")
-        harness.placer.doubt([ENDPOINT_ID])
+        harness.placer.recheck_endpoints([ENDPOINT_ID])
         await harness.async_tick(0.2)
         for _ in range(3):
             harness.request_model("m0")
@@ -76,8 +76,8 @@
         assert "m0" in other.models
         down = [
             p
-            for news in harness.sent
-            for p in news.endpoints
+            for message in harness.sent
+            for p in message.endpoints
             if p.endpoint == ENDPOINT_ID
         ]
         assert down[-1].models == {}
@@ -190,8 +190,8 @@
 
 def test_outdated_report_is_ignored():
     inventory = Inventory(ENDPOINT_ID)
-    inventory.take_report(EndpointReport(3, False, {"m0": frozenset()}), 0.0)
-    inventory.take_report(EndpointReport(2, False, {"m1": frozenset()}), 1.0)
+    inventory.apply_report(EndpointReport(3, False, {"m0": frozenset()}), 0.0)
+    inventory.apply_report(EndpointReport(2, False, {"m1": frozenset()}), 1.0)
     assert set(inventory.models) == {"m0"}
 
 
@@ -271,7 +271,7 @@
         inventory.sequence += 1
         inventory.read_s = float("-inf")
         # Any demand disables prefetching.
-        harness.demand.take("d1", [ModelUse("m0", "", 1, 0.1, 0)], harness.core.now_s)
+        harness.demand.take("d1", [ModelUsage("m0", "", 1, 0.1, 0)], harness.core.now_s)
         await harness.async_tick(0.01)
         read_s = inventory.read_s
         assert read_s == harness.core.now_s
@@ -307,8 +307,8 @@
 
 def test_report_of_a_new_process_replaces_the_inventory():
     inventory = Inventory(ENDPOINT_ID, 1000)
-    inventory.take_report(make_report(57, {"m0": frozenset()}, 1000), 0.0)
-    inventory.take_report(make_report(1, {"m1": frozenset()}, 2000), 0.1)
+    inventory.apply_report(make_report(57, {"m0": frozenset()}, 1000), 0.0)
+    inventory.apply_report(make_report(1, {"m1": frozenset()}, 2000), 0.1)
     assert inventory.sequence == 1 and set(inventory.models) == {"m1"}
-    inventory.take_report(make_report(58, {"m0": frozenset()}, 1000), 0.2)
+    inventory.apply_report(make_report(58, {"m0": frozenset()}, 1000), 0.2)
     assert inventory.sequence == 1 and set(inventory.models) == {"m1"}
--- a/tests/placing/test_rare_models.py
+++ b/tests/placing/test_rare_models.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from chutelink.entry.demand import CLAIM_VALID_S, DemandTable
-from chutelink.entry.news import ModelUse
+from chutelink.entry.demand import UNSERVED_VALID_S, DemandTable
+from chutelink.entry.messages import ModelUsage
 from chutelink.placing.changes import PlacementView
 from chutelink.placing.placement import DemandPlacement
 
@@ -108,11 +108,11 @@
 def test_longest_unserved_model_is_loaded_first():
     """Even if another model has more waiting requests and was requested first."""
     demand = DemandTable()
-    demand.take("d1", [ModelUse("m4", "", 1, 0.1, 3, 3)], 90.0)
-    demand.take("d1", [ModelUse("m5", "", 1, 0.1, 1, 1)], 91.0)
-    demand.take("d1", [ModelUse("m4", "", 0, 0.0, 0, 0, 9)], 98.0)
-    demand.take("d1", [ModelUse("m4", "", 1, 0.1, 2, 2)], 99.0)
-    demand.take("d1", [ModelUse("m5", "", 1, 0.1, 1, 1)], 99.0)
+    demand.take("d1", [ModelUsage("m4", "", 1, 0.1, 3, 3)], 90.0)
+    demand.take("d1", [ModelUsage("m5", "", 1, 0.1, 1, 1)], 91.0)
+    demand.take("d1", [ModelUsage("m4", "", 0, 0.0, 0, 0, 9)], 98.0)
+    demand.take("d1", [ModelUsage("m4", "", 1, 0.1, 2, 2)], 99.0)
+    demand.take("d1", [ModelUsage("m5", "", 1, 0.1, 1, 1)], 99.0)
     site = make_site("i-1", {"m6": []}, on_disk=("m4", "m5"))
     view = PlacementView(make_engine(), [site], {}, demand, 2, 100.0)
     assert [change.model for change in DemandPlacement().plan(view)] == ["m5"]
@@ -120,14 +120,14 @@
 
 def test_unserved_time_outlives_its_request_and_ends_when_one_is_served():
     demand = DemandTable()
-    demand.take("d1", [ModelUse("m4", "", 1, 0.1, 1, 1)], 10.0)
-    demand.take("d1", [ModelUse("m4", "", 0, 0.0, 0)], 14.0)
+    demand.take("d1", [ModelUsage("m4", "", 1, 0.1, 1, 1)], 10.0)
+    demand.take("d1", [ModelUsage("m4", "", 0, 0.0, 0)], 14.0)
     assert demand.denied_s(18.0) == {("m4", ""): 8.0}
-    demand.take("d2", [ModelUse("m4", "", 1, 0.1, 0, 0, 1)], 19.0)
+    demand.take("d2", [ModelUsage("m4", "", 1, 0.1, 0, 0, 1)], 19.0)
     assert demand.denied_s(19.0) == {}
 
 
 def test_unserved_time_expires_without_new_requests():
     demand = DemandTable()
-    demand.take("d1", [ModelUse("m4", "", 1, 0.1, 1, 1)], 10.0)
-    assert demand.denied_s(10.0 + CLAIM_VALID_S + 0.1) == {}
+    demand.take("d1", [ModelUsage("m4", "", 1, 0.1, 1, 1)], 10.0)
+    assert demand.denied_s(10.0 + UNSERVED_VALID_S + 0.1) == {}
--- a/tests/placing/test_starvation.py
+++ b/tests/placing/test_starvation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from chutelink.entry.demand import DemandTable
-from chutelink.entry.news import ModelUse
+from chutelink.entry.messages import ModelUsage
 from chutelink.placing.changes import ChangeReason, PlacementView
 from chutelink.placing.placement import DemandPlacement
 
@@ -16,11 +16,11 @@
 def make_view(sites, busy, denied, *, denied_s=10.0, is_waiting=True, cold_loads=9):
     """Return a view in which requests for some models were rejected for a while."""
     demand = DemandTable()
-    refused = [ModelUse(model, "", 1, 0.01, 1, 1) for model in denied]
+    refused = [ModelUsage(model, "", 1, 0.01, 1, 1) for model in denied]
     demand.take("d1", refused, NOW_S - denied_s)
     waiting = int(is_waiting)
-    again = [ModelUse(model, "", 1, 0.01, waiting, waiting) for model in denied]
-    uses = [ModelUse(model, "", count, work_s, 0) for model, count, work_s in busy]
+    again = [ModelUsage(model, "", 1, 0.01, waiting, waiting) for model in denied]
+    uses = [ModelUsage(model, "", count, work_s, 0) for model, count, work_s in busy]
     demand.take("d1", again + uses, NOW_S)
     engine = make_engine(cold_load_s=COLD_LOAD_S)
     return PlacementView(engine, sites, {}, demand, cold_loads, NOW_S)
@@ -99,9 +99,9 @@
 
 def test_model_with_waiting_requests_precedes_one_whose_callers_gave_up():
     demand = DemandTable()
-    demand.take("d1", [ModelUse("m5", "", 2, 0.01, 1, 1)], NOW_S - 10.0)
-    demand.take("d1", [ModelUse("m5", "", 0, 0.0, 0)], NOW_S - 6.0)
-    demand.take("d1", [ModelUse("m4", "", 2, 0.01, 1, 1)], NOW_S)
+    demand.take("d1", [ModelUsage("m5", "", 2, 0.01, 1, 1)], NOW_S - 10.0)
+    demand.take("d1", [ModelUsage("m5", "", 0, 0.0, 0)], NOW_S - 6.0)
+    demand.take("d1", [ModelUsage("m4", "", 2, 0.01, 1, 1)], NOW_S)
     sites = [make_site("i-1", {"m7": []})]
     view = PlacementView(make_engine(), sites, {}, demand, 9, NOW_S)
     assert [change.model for change in DemandPlacement().plan(view)] == ["m4"]
@@ -113,11 +113,11 @@
     Another model has waiting requests and has been unserved for ``denied_s``.
     """
     demand = DemandTable()
-    demand.take("d1", [ModelUse("m5", "", 2, 0.01, 1, 1)], NOW_S - 8.0)
-    demand.take("d1", [ModelUse("m5", "", 0, 0.0, 0)], NOW_S - 4.0)
-    demand.take("d1", [ModelUse("m4", "", 2, 0.01, 1, 1)], NOW_S - denied_s)
-    demand.take("d1", [ModelUse("m4", "", 1, 0.01, 1, 1)], NOW_S)
-    demand.take("d1", [ModelUse("m7", "", 900, 0.1, 0)], NOW_S)
+    demand.take("d1", [ModelUsage("m5", "", 2, 0.01, 1, 1)], NOW_S - 8.0)
+    demand.take("d1", [ModelUsage("m5", "", 0, 0.0, 0)], NOW_S - 4.0)
+    demand.take("d1", [ModelUsage("m4", "", 2, 0.01, 1, 1)], NOW_S - denied_s)
+    demand.take("d1", [ModelUsage("m4", "", 1, 0.01, 1, 1)], NOW_S)
+    demand.take("d1", [ModelUsage("m7", "", 900, 0.1, 0)], NOW_S)
     sites = [make_site("i-1", {"m7": [], "m5": []})]
     return PlacementView(make_engine(), sites, {}, demand, 9, NOW_S)
 
--- a/tests/platform/test_customers.py
+++ b/tests/platform/test_customers.py
@@ -10,7 +10,7 @@
 from chutelink.customers.keys import hash_key
 from chutelink.customers.model import QuotaUnit
 from chutelink.exceptions import ConfigInvalid
-from chutelink.platform.adapter import PreparedMachines
+from chutelink.platform.adapter import PreparedMachinesAdapter
 from chutelink.platform.configuration import decode_config
 from standins.prepared_config import make_config
 
@@ -51,7 +51,7 @@
 
 def test_compact_row_contains_no_plaintext_key():
     config = make_config(7, SERVICES) | {"tenants": [ACME]}
-    kept = PreparedMachines().compact_row(KEY_ROUTING_CONFIG, config)
+    kept = PreparedMachinesAdapter().compact_row(KEY_ROUTING_CONFIG, config)
     assert "key-of-acme" not in json.dumps(kept)
     assert decode_config(kept).customers == decode_config(config).customers
 
@@ -83,7 +83,7 @@
     config = make_config(7, SERVICES) | {"tenants": customers}
     with pytest.raises(ConfigInvalid):
         decode_config(config)
-    kept = PreparedMachines().compact_row(KEY_ROUTING_CONFIG, config)
+    kept = PreparedMachinesAdapter().compact_row(KEY_ROUTING_CONFIG, config)
     assert kept["tenants"] is None
 
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -5,10 +5,10 @@
 import pytest
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from chutelink.entry.dialect import AnswerKind, Dispatch
-from chutelink.platform.headers import PlatformDialect
+from chutelink.entry.headers import AnswerKind, Dispatch
+from chutelink.platform.headers import PlatformHeaderCodec
 
-CODEC = PlatformDialect()
+CODEC = PlatformHeaderCodec()
 
 
 def headers(**values: str) -> CIMultiDictProxy[str]:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -112,7 +112,7 @@
             store.put("servers", name, {"x": 1})
         store.max_page_rows = 1
         writes = iter([{"x": 2}])
-        store.after_page = lambda: [store.put("servers", "i-1", v) for v in writes]
+        store.on_page_read = lambda: [store.put("servers", "i-1", v) for v in writes]
         page = await table.async_read("endpoints/")
         assert [row.value["x"] for row in page.rows] == [1, 1, 1]
         changes = await table.async_watch("endpoints/", page.version, 0.0)
@@ -138,7 +138,7 @@
         for name in ("i-1", "i-2"):
             store.put("servers", name, {"x": 1})
         store.max_page_rows = 1
-        store.after_page = lambda: store.restore(store.copy())
+        store.on_page_read = lambda: store.restore(store.snapshot())
         with pytest.raises(PlatformUnavailable):
             await table.async_read("endpoints/")
 
@@ -147,9 +147,9 @@
 
 def test_pages_and_commits_carry_the_store_era():
     async def async_test(store, table):
-        copy = store.copy()
+        snapshot = store.snapshot()
         first = await table.async_transact(write(1))
-        store.restore(copy)
+        store.restore(snapshot)
         second = await table.async_transact(write(1, write_id="w2"))
         assert (first.version, first.era + 1) == (second.version, second.era)
         page = await table.async_watch("own/", 0, 0.0)
@@ -160,9 +160,9 @@
 
 def test_watch_after_a_version_lost_by_a_restore_is_rejected():
     async def async_test(store, table):
-        copy = store.copy()
+        snapshot = store.snapshot()
         after = store.put("servers", "i-1", {"x": 1})
-        store.restore(copy)
+        store.restore(snapshot)
         with pytest.raises(HistoryLost):
             await table.async_watch("endpoints/", after, 0.0)
 
--- a/tests/processes/silence.py
+++ b/tests/processes/blackhole_proxy.py
@@ -8,7 +8,7 @@
 CHUNK_BYTES = 65_536
 
 
-class SilencingProxy:
+class BlackholeProxy:
     """Forwards bytes, and can blackhole the connections that are open.
 
     A blackholed connection stays open but forwards nothing any more.
@@ -38,7 +38,7 @@
             self._async_serve, self._host, self._port
         )
 
-    def silence(self) -> int:
+    def blackhole(self) -> int:
         """Blackhole the open connections, and return how many there were."""
         self._generation += 1
         blackholed, self.connections = self.connections, 0
@@ -56,9 +56,9 @@
     ) -> None:
         self._tasks.add(asyncio.current_task())
         with contextlib.suppress(asyncio.CancelledError):
-            await self._async_pass_both(reader, writer)
+            await self._async_forward_both(reader, writer)
 
-    async def _async_pass_both(
+    async def _async_forward_both(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         generation = self._generation
--- a/tests/processes/chaos.py
+++ b/tests/processes/chaos.py
@@ -16,7 +16,7 @@
 
 from standins.text import expected_text
 
-from .deployment import FAILURES, Deployment, async_deploy, async_start_all
+from .deployment import CONNECTION_ERRORS, Deployment, async_deploy, async_start_all
 from .scenarios import async_stream
 
 SETTLE_S = 90.0
@@ -108,7 +108,7 @@
             number += 1
             model, prompt = "mno"[number % 3], f"{worker} {number}"
             gateway = 1 + (worker + number) % 3
-            with contextlib.suppress(*FAILURES):
+            with contextlib.suppress(*CONNECTION_ERRORS):
                 await self._async_send_completion(
                     model, prompt, gateway, number % 2 == 0
                 )
@@ -149,7 +149,7 @@
                         idempotency_key=key,
                         body=key,
                     )
-                except FAILURES:
+                except CONNECTION_ERRORS:
                     continue
                 outcome = headers.get("Chutelink-Outcome", "done")
                 self._keys.setdefault(key, set()).add(outcome)
@@ -170,7 +170,7 @@
                 self._async_change_fleet,
             ]
         )
-        with contextlib.suppress(*FAILURES):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await action()
 
     async def _async_engine_fault(self) -> None:
@@ -217,7 +217,7 @@
         if kind == "freeze":
             process.freeze()
             await asyncio.sleep(self._rng.uniform(0.5, 4.0))
-            process.wake()
+            process.resume()
             return
         if kind == "terminate":
             process.terminate()
@@ -312,7 +312,7 @@
             try:
                 async with self._deployment.session.get(f"{url}/metrics") as response:
                     text = await response.text()
-            except FAILURES as error:
+            except CONNECTION_ERRORS as error:
                 self.violations.append(f"{url} is gone: {error}")
                 continue
             if "chutelink_invariant_violations_total{" in text:
--- a/tests/processes/deadly_soak.py
+++ b/tests/processes/deadly_soak.py
@@ -29,9 +29,9 @@
 
 import aiohttp
 
-from standins.prepared_endpoint import DEADLY
+from standins.prepared_endpoint import CRASH_BODY
 
-from .entry_deployment import FAILURES, EntryDeployment, async_entry_deployment
+from .entry_deployment import CONNECTION_ERRORS, EntryDeployment, async_entry_deployment
 
 DAEMONS = 3
 CONTACT_S = 3.0
@@ -94,13 +94,13 @@
         name = f"{kind}-{next(self._ids)}"
         is_crashing = kind == "deadly"
         path = "/again/bad" if is_crashing else f"/{kind}/{name}"
-        body = DEADLY if is_crashing else name.encode()
+        body = CRASH_BODY if is_crashing else name.encode()
         address = f"http://{self._deployment.address(number)}:7100{path}"
         headers = {"Host": "a.example", "X-Request-Id": name, "X-Deadline-Ms": "3000"}
         try:
             async with session.post(address, data=body, headers=headers) as answer:
                 content = await answer.read()
-        except FAILURES:
+        except CONNECTION_ERRORS:
             self.statuses[f"{kind} none"] += 1
             return 0
         self.statuses[f"{kind} {answer.status}"] += 1
@@ -151,9 +151,9 @@
             await asyncio.sleep(rng.uniform(0.0, MAX_STALL_S))
 
     async def _async_store_out(self, number: int, duration_s: float) -> None:
-        await self._deployment.async_store_faults(is_out=True)
+        await self._deployment.async_set_store_faults(is_out=True)
         await asyncio.sleep(duration_s)
-        await self._deployment.async_store_faults(is_out=False)
+        await self._deployment.async_set_store_faults(is_out=False)
 
     async def _async_write_foreign_row(self, number: int, duration_s: float) -> None:
         table = self._rng.choice(("servers", "chutelink-quarantine"))
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -24,7 +24,7 @@
 GATEWAY_PORT = 7100
 DIRECTOR_PORT = 7200
 DEFAULT_TIMEOUT_S = 40.0
-FAILURES = (aiohttp.ClientError, TimeoutError, ConnectionError)
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, ConnectionError)
 _SUBNETS = itertools.count()
 
 
@@ -52,7 +52,7 @@
     def freeze(self) -> None:
         self.send(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         self.send(signal.SIGCONT)
 
     @property
@@ -334,7 +334,7 @@
                 try:
                     if await async_condition():
                         return
-                except FAILURES:
+                except CONNECTION_ERRORS:
                     pass
                 await asyncio.sleep(0.05)
 
@@ -374,7 +374,7 @@
 
     def stop_all(self) -> None:
         for process in self.processes.values():
-            process.wake()
+            process.resume()
             process.kill()
 
 
--- a/tests/processes/entry_deployment.py
+++ b/tests/processes/entry_deployment.py
@@ -16,13 +16,13 @@
 
 from standins.prepared_config import make_config
 
-from .deployment import DEFAULT_TIMEOUT_S, FAILURES, Process
-from .silence import SilencingProxy
+from .blackhole_proxy import BlackholeProxy
+from .deployment import CONNECTION_ERRORS, DEFAULT_TIMEOUT_S, Process
 
 ROOT = Path(__file__).parent.parent.parent
 BIN = Path(os.sys.executable).parent
 STORE_PORT = 7000
-FIRST_PORT = 7100
+BASE_PORT = 7100
 SERVICES = {"llm": "llm", "plain": "plain"}
 _SUBNETS = itertools.count()
 
@@ -53,7 +53,7 @@
         self.subnet = f"127.{second}.{third % 250}"
         self.processes: dict[str, Process] = {}
         self.session: aiohttp.ClientSession | None = None
-        self.store_proxy: SilencingProxy | None = None
+        self.store_proxy: BlackholeProxy | None = None
 
     @property
     def store_url(self) -> str:
@@ -67,7 +67,7 @@
         """Host at which daemons reach the store, directly or through the proxy."""
         return f"{self.subnet}.1" if self.store_proxy is None else f"{self.subnet}.2"
 
-    async def async_start_proxy(self, make_proxy: type[SilencingProxy]) -> None:
+    async def async_start_proxy(self, make_proxy: type[BlackholeProxy]) -> None:
         """Start a proxy between the daemons and the store."""
         self.store_proxy = make_proxy(
             f"{self.subnet}.2", STORE_PORT, f"{self.subnet}.1"
@@ -90,12 +90,12 @@
             "node": f"vm-{number}",
             "zone": "zone-a",
             "ip": ip,
-            "listen.control": f"{ip}:{FIRST_PORT + 9}",
-            "seeds": f"{self.address(0)}:{FIRST_PORT + 9}",
+            "listen.control": f"{ip}:{BASE_PORT + 9}",
+            "seeds": f"{self.address(0)}:{BASE_PORT + 9}",
             "provider.address": f"{self.store_host}:{STORE_PORT}",
-            "listen.front": f"{ip}:{FIRST_PORT}",
-            "listen.ready": f"{ip}:{FIRST_PORT + 1}",
-            "listen.directory": f"{ip}:{FIRST_PORT + 2}",
+            "listen.front": f"{ip}:{BASE_PORT}",
+            "listen.ready": f"{ip}:{BASE_PORT + 1}",
+            "listen.directory": f"{ip}:{BASE_PORT + 2}",
             "bounds.grace_s": "8",
             "limits.cpu_share": "1.0",
             "limits.cores": "2",
@@ -123,16 +123,16 @@
             return answer.status, await answer.read()
 
     async def async_is_ready(self, number: int) -> bool:
-        url = f"http://{self.address(number)}:{FIRST_PORT + 1}/api/ready"
+        url = f"http://{self.address(number)}:{BASE_PORT + 1}/api/ready"
         try:
             status, _ = await self.async_get(url)
-        except FAILURES:
+        except CONNECTION_ERRORS:
             return False
         return status == 200
 
     async def async_addresses(self, number: int) -> list[str]:
         path = "/api/resolve?name=a.example&region=r&zone=zone-a"
-        url = f"http://{self.address(number)}:{FIRST_PORT + 2}{path}"
+        url = f"http://{self.address(number)}:{BASE_PORT + 2}{path}"
         status, body = await self.async_get(url)
         return json.loads(body)["addresses"] if status == 200 else []
 
@@ -147,7 +147,7 @@
         async def async_check() -> bool:
             try:
                 address_lists = [await self.async_addresses(n) for n in daemons]
-            except FAILURES:
+            except CONNECTION_ERRORS:
                 return False
             return all(len(a) == len(daemons) for a in address_lists)
 
@@ -164,7 +164,7 @@
         sent = {"Host": "a.example", "X-Request-Id": request_id}
         sent |= {"X-Deadline-Ms": "3000"}
         sent |= {name.replace("_", "-"): value for name, value in headers.items()}
-        url = f"http://{self.address(number)}:{FIRST_PORT}{path}"
+        url = f"http://{self.address(number)}:{BASE_PORT}{path}"
         return self.session.post(url, data=body, headers=sent)
 
     async def async_configure(self, version: int, **changes: object) -> None:
@@ -174,7 +174,7 @@
         ) as answer:
             assert answer.status == 200
 
-    async def async_store_faults(self, **faults: object) -> None:
+    async def async_set_store_faults(self, **faults: object) -> None:
         url = f"{self.store_url}/standin/faults"
         async with self.session.post(url, json=faults) as answer:
             assert answer.status == 200
@@ -184,7 +184,9 @@
         async with self.session.post(url) as answer:
             assert answer.status == 200
 
-    async def async_endpoint(self, name: str, state: str = "ready", **faults) -> None:
+    async def async_set_endpoint(
+        self, name: str, state: str = "ready", **faults
+    ) -> None:
         url = f"{self.store_url}/standin/endpoints/{name}?state={state}"
         async with self.session.post(url, json=faults) as answer:
             assert answer.status == 200
@@ -208,7 +210,7 @@
     daemons: int = 3,
     *,
     has_proxy: bool = False,
-    make_proxy: type[SilencingProxy] = SilencingProxy,
+    make_proxy: type[BlackholeProxy] = BlackholeProxy,
 ) -> AsyncIterator[EntryDeployment]:
     deployment = EntryDeployment(directory)
     deployment.session = aiohttp.ClientSession(
--- a/tests/processes/shutdown_sweep.py
+++ b/tests/processes/shutdown_sweep.py
@@ -125,7 +125,7 @@
                 sent.append(asyncio.ensure_future(sending))
             await asyncio.sleep(STEP_S)
         stalls.cancel()
-        self._process.wake()
+        self._process.resume()
         assert await self._process.async_wait() == 0
         await asyncio.gather(*sent)
         for connection in self._idle_connections:
@@ -169,7 +169,7 @@
             await asyncio.sleep(self._rng.uniform(0.02, 0.3))
             self._process.freeze()
             await asyncio.sleep(self._rng.uniform(0.02, MAX_STALL_S))
-            self._process.wake()
+            self._process.resume()
 
     def lost_requests(self, executed_ids: set[str]) -> list[SentRequest]:
         """Return the requests that were accepted but not answered.
--- a/tests/processes/test_answers.py
+++ b/tests/processes/test_answers.py
@@ -6,7 +6,7 @@
 
 from standins.text import expected_text
 
-from .deployment import FAILURES, async_deploy, async_start_all
+from .deployment import CONNECTION_ERRORS, async_deploy, async_start_all
 from .scenarios import (
     async_executions,
     async_run_with_service,
@@ -125,7 +125,7 @@
                 status, headers, _ = await deployment.async_complete(
                     "m", f"p{number}", gateway=1 + number % 2
                 )
-            except FAILURES:
+            except CONNECTION_ERRORS:
                 return
             if headers.get("Chutelink-Outcome") == "not-run":
                 refused.append(headers["X-Request-Id"])
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.05)
             victim.freeze()
             await asyncio.sleep(1.2)
-            victim.wake()
+            victim.resume()
             await running
         reached = set(await deployment.async_received_ids())
         assert not reached & set(refused)
--- a/tests/processes/test_crashing_requests.py
+++ b/tests/processes/test_crashing_requests.py
@@ -10,7 +10,7 @@
 
 import asyncio
 
-from standins.prepared_endpoint import DEADLY
+from standins.prepared_endpoint import CRASH_BODY
 
 from .entry_deployment import async_entry_deployment
 
@@ -22,7 +22,7 @@
 
 
 async def async_send(deployment, number: int, name: str) -> int:
-    async with deployment.request(number, "/again/x", name, DEADLY) as answer:
+    async with deployment.request(number, "/again/x", name, CRASH_BODY) as answer:
         await answer.read()
         return answer.status
 
@@ -66,7 +66,7 @@
 
     async def async_test():
         async with async_entry_deployment(tmp_path, 1) as deployment:
-            await deployment.async_store_faults(out_tables=["chutelink-quarantine"])
+            await deployment.async_set_store_faults(out_tables=["chutelink-quarantine"])
             deployment.processes["vm-0"].kill()
             deployment.start_daemon(0)
             await deployment.async_until_all_listed([0])
--- a/tests/processes/test_customers.py
+++ b/tests/processes/test_customers.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from .entry_deployment import FAILURES, async_entry_deployment
+from .entry_deployment import CONNECTION_ERRORS, async_entry_deployment
 from .test_entry import new_id
 
 WINDOW_S = 4.0
@@ -28,7 +28,7 @@
         ) as answer:
             await answer.read()
             return answer.status
-    except FAILURES:
+    except CONNECTION_ERRORS:
         return 0
 
 
@@ -62,7 +62,7 @@
         await asyncio.sleep(2)
         deployment.processes["vm-2"].freeze()
         await asyncio.sleep(2)
-        deployment.processes["vm-2"].wake()
+        deployment.processes["vm-2"].resume()
         await asyncio.sleep(1)
         for number in (0, 1, 2):
             deployment.processes[f"vm-{number}"].kill()
--- a/tests/processes/test_departures.py
+++ b/tests/processes/test_departures.py
@@ -9,7 +9,7 @@
 
 from standins.text import expected_text
 
-from .deployment import FAILURES, KEY
+from .deployment import CONNECTION_ERRORS, KEY
 from .scenarios import async_run_with_service, async_until_replicas
 
 
@@ -94,7 +94,7 @@
                 if response.status != 200:
                     return False
                 answer = await response.json()
-        except FAILURES:
+        except CONNECTION_ERRORS:
             return False
         self._urls = [a["url"] for a in answer["addresses"]]
         self._until_s = asked_s + answer["valid_s"]
--- a/tests/processes/test_entry.py
+++ b/tests/processes/test_entry.py
@@ -5,7 +5,7 @@
 import asyncio
 import itertools
 
-from .entry_deployment import FAILURES, async_entry_deployment
+from .entry_deployment import CONNECTION_ERRORS, async_entry_deployment
 
 EVENTS = 6
 _IDS = itertools.count()
@@ -34,7 +34,7 @@
         nonlocal body
         try:
             status, body = await async_stream(deployment, number, model)
-        except FAILURES:
+        except CONNECTION_ERRORS:
             return False
         assert status in (200, 503)
         return status == 200
@@ -130,7 +130,7 @@
 
 def test_serving_continues_during_store_outage(tmp_path):
     async def async_test(deployment):
-        await deployment.async_store_faults(is_out=True)
+        await deployment.async_set_store_faults(is_out=True)
         await asyncio.sleep(1.0)
         status, _ = await async_stream(deployment, 0, "m0")
         assert status == 200
@@ -164,10 +164,10 @@
 
 def test_lost_history_triggers_full_read(tmp_path):
     async def async_test(deployment):
-        await deployment.async_endpoint("i-plain0", state="draining")
+        await deployment.async_set_endpoint("i-plain0", state="draining")
         async with deployment.session.post(f"{deployment.store_url}/standin/forget"):
             pass
-        await deployment.async_endpoint("i-plain1", state="draining")
+        await deployment.async_set_endpoint("i-plain1", state="draining")
 
         async def async_is_refused() -> bool:
             async with deployment.request(1, "/once/x", new_id()) as answer:
@@ -187,7 +187,7 @@
     async def async_test():
         async with async_entry_deployment(tmp_path, has_proxy=True) as deployment:
             await async_until_served(deployment, 0, "m0")
-            assert deployment.store_proxy.silence() > 0
+            assert deployment.store_proxy.blackhole() > 0
             await deployment.async_configure(2, routes=[])
 
             async def async_all_answer(status: int) -> bool:
@@ -200,7 +200,7 @@
                 return True
 
             await deployment.async_until(lambda: async_all_answer(404))
-            assert deployment.store_proxy.silence() > 0
+            assert deployment.store_proxy.blackhole() > 0
             await deployment.async_configure(3)
             await deployment.async_until(lambda: async_all_answer(200))
             for model in ("m1", "m2", "m3"):
--- a/tests/processes/test_keyed_work.py
+++ b/tests/processes/test_keyed_work.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from .deployment import FAILURES
+from .deployment import CONNECTION_ERRORS
 from .scenarios import async_executions, async_run_with_service
 
 
@@ -49,7 +49,7 @@
             lambda: async_has_executions(deployment, "k"), timeout_s=5
         )
         deployment.processes["gateway-1"].kill()
-        with contextlib.suppress(*FAILURES):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await first
         status, headers, _ = await async_post(2)
         assert headers["Chutelink-Outcome"] == "unknown"
--- a/tests/processes/test_leaving_responses.py
+++ b/tests/processes/test_leaving_responses.py
@@ -32,8 +32,8 @@
 def test_endpoint_leaving_during_store_outage_receives_no_requests(tmp_path):
     async def async_test():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
-            await deployment.async_store_faults(is_out=True)
-            await deployment.async_endpoint(PLAIN, says_leaving=True)
+            await deployment.async_set_store_faults(is_out=True)
+            await deployment.async_set_endpoint(PLAIN, says_leaving=True)
             ids = itertools.count()
             await async_send_for(deployment, FLOOD_S, ids)
             assert await async_count_arrivals(deployment) >= 1
--- a/tests/processes/test_limits.py
+++ b/tests/processes/test_limits.py
@@ -5,8 +5,8 @@
 import asyncio
 import itertools
 
-from ..rates import LIMIT_WINDOW_S, allowed_in_window, most_in_window
-from .entry_deployment import FAILURES, async_entry_deployment
+from ..rates import LIMIT_WINDOW_S, max_events_in_window, max_requests_in_window
+from .entry_deployment import CONNECTION_ERRORS, async_entry_deployment
 
 DAEMONS = 3
 LIMIT_PER_S = 2.0
@@ -27,7 +27,7 @@
             async with deployment.request(number, "/once/x", name) as answer:
                 await answer.read()
                 statuses.append(answer.status)
-        except FAILURES:
+        except CONNECTION_ERRORS:
             statuses.append(NO_ANSWER)
         await asyncio.sleep(PAUSE_S)
 
@@ -36,7 +36,7 @@
     async def async_test():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
             for name in PLAIN:
-                await deployment.async_endpoint(name, limit_per_s=LIMIT_PER_S)
+                await deployment.async_set_endpoint(name, limit_per_s=LIMIT_PER_S)
             statuses: list[int] = []
             floods = (async_flood(deployment, n, statuses) for n in range(DAEMONS))
             await asyncio.gather(*floods)
@@ -45,8 +45,8 @@
             endpoints = await deployment.async_endpoints()
             for name in PLAIN:
                 arrived_s = endpoints[name]["arrived_s"]
-                got = most_in_window(arrived_s, LIMIT_WINDOW_S)
-                assert got <= allowed_in_window(LIMIT_PER_S), name
+                got = max_events_in_window(arrived_s, LIMIT_WINDOW_S)
+                assert got <= max_requests_in_window(LIMIT_PER_S), name
 
     asyncio.run(async_test())
 
@@ -57,7 +57,7 @@
     async def async_test():
         async with async_entry_deployment(tmp_path, DAEMONS) as deployment:
             for name in PLAIN:
-                await deployment.async_endpoint(name, limit_per_s=LIMIT_PER_S)
+                await deployment.async_set_endpoint(name, limit_per_s=LIMIT_PER_S)
             statuses: list[int] = []
             floods = [
                 asyncio.ensure_future(async_flood(deployment, n, statuses))
@@ -70,7 +70,7 @@
             await asyncio.gather(*floods)
             assert 200 in statuses
             for name, endpoint in (await deployment.async_endpoints()).items():
-                got = most_in_window(endpoint["arrived_s"], LIMIT_WINDOW_S)
-                assert got <= allowed_in_window(LIMIT_PER_S), name
+                got = max_events_in_window(endpoint["arrived_s"], LIMIT_WINDOW_S)
+                assert got <= max_requests_in_window(LIMIT_PER_S), name
 
     asyncio.run(async_test())
--- a/tests/processes/test_operators.py
+++ b/tests/processes/test_operators.py
@@ -82,7 +82,7 @@
             # During the table outage, the new daemon gets the version from its peers.
             await deployment.async_until_served("n", gateway=1)
             # The frozen daemon resumes during the outage and catches up the same way.
-            frozen.wake()
+            frozen.resume()
             await deployment.async_until_served("n", gateway=2)
             await deployment.async_set_faults(
                 deployment.platform_url, table_out=False, objects_out=False
--- a/tests/processes/test_restored_store.py
+++ b/tests/processes/test_restored_store.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from .entry_deployment import FAILURES, async_entry_deployment
+from .entry_deployment import CONNECTION_ERRORS, async_entry_deployment
 
 DAEMONS = 3
 LOST_VERSIONS = 12
@@ -22,7 +22,7 @@
         try:
             async with deployment.request(number, path, f"{path}-{number}") as answer:
                 statuses.append(answer.status)
-        except FAILURES:
+        except CONNECTION_ERRORS:
             statuses.append(0)
     return statuses
 
@@ -62,8 +62,8 @@
             assert await async_statuses(deployment, "/again/x") == [404] * DAEMONS
         await deployment.async_configure(3 + LOST_VERSIONS)
         await async_until_all(deployment, "/again/x", 200)
-        await deployment.async_endpoint("i-plain0", state="draining")
-        await deployment.async_endpoint("i-plain1", state="draining")
+        await deployment.async_set_endpoint("i-plain0", state="draining")
+        await deployment.async_set_endpoint("i-plain1", state="draining")
         await async_until_all(deployment, "/once/x", 503)
 
     run_test(async_test, tmp_path)
--- a/tests/processes/test_shutdown.py
+++ b/tests/processes/test_shutdown.py
@@ -12,8 +12,14 @@
 
 import pytest
 
-from .deployment import FAILURES, GATEWAY_PORT, KEY, async_deploy, async_start_all
-from .entry_deployment import FIRST_PORT, async_entry_deployment
+from .deployment import (
+    CONNECTION_ERRORS,
+    GATEWAY_PORT,
+    KEY,
+    async_deploy,
+    async_start_all,
+)
+from .entry_deployment import BASE_PORT, async_entry_deployment
 from .shutdown_sweep import ShutdownSweep
 
 STREAM_EVENTS = 400
@@ -53,7 +59,7 @@
         sent = deployment.request(0, "/stream/x", f"long{number}", **headers)
         try:
             answer = await sent.__aenter__()
-        except FAILURES:
+        except CONNECTION_ERRORS:
             break
         if answer.status == 200:
             bodies.append(asyncio.ensure_future(async_read(answer)))
@@ -69,7 +75,7 @@
             sweep = ShutdownSweep(
                 deployment.processes["vm-0"],
                 deployment.address(0),
-                FIRST_PORT,
+                BASE_PORT,
                 make_entry_request,
                 has_stalls=has_stalls,
             )
--- a/tests/quarantine/test_keeper.py
+++ b/tests/quarantine/test_persistence.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from chutelink.entry.news import decode_news, encode_news
+from chutelink.entry.messages import decode_entry_message, encode_entry_message
 from chutelink.ids import FIRST_ERA, EndpointId, Fingerprint, WriteId
 from chutelink.quarantine import const
-from chutelink.quarantine.keeper import PREFIX_HOLDS, QuarantineKeeper
 from chutelink.quarantine.model import BrokenRun, Hold, Verdict
+from chutelink.quarantine.persistence import PREFIX_HOLDS, QuarantinePersistence
 from chutelink.quarantine.probe import ProbeResult
 from chutelink.quarantine.service import Quarantine
 from chutelink.store import Transaction, Write
@@ -34,7 +34,7 @@
         self.quarantine = Quarantine(
             self.core, FixedProbe(ProbeResult.REFUSED), unix_clock=lambda: self.unix_s
         )
-        self.persistence = QuarantineKeeper(
+        self.persistence = QuarantinePersistence(
             self.core, table, self.quarantine, lambda: rank
         )
 
@@ -51,7 +51,7 @@
         """Apply all rows, as the table watch does."""
         rows = (await self.table.async_read(PREFIX_HOLDS)).rows
         for row in rows:
-            self.persistence.take_row(row.key, row.value)
+            self.persistence.apply_row(row.key, row.value)
 
 
 def test_stored_hold_reaches_a_daemon_that_starts_later():
@@ -74,7 +74,7 @@
         finder.quarantine.send = sent.append
         await finder.async_break_runs(*ENDPOINTS)
         await asyncio.sleep(0.05)
-        other.quarantine.take_endings(sent[0], "d0")
+        other.quarantine.apply_endings(sent[0], "d0")
         await other.persistence.async_save_pending()
         assert not (await table.async_read(PREFIX_HOLDS)).rows
         other.core.now_s += const.SAVE_RANK_DELAY_S * 3
@@ -114,7 +114,7 @@
         daemon.quarantine.note_success(BAD)
         await daemon.persistence.async_save_pending()
         assert not [r for r in (await table.async_read(PREFIX_HOLDS)).rows if r.value]
-        other.persistence.take_row(KEY, None)
+        other.persistence.apply_row(KEY, None)
         assert other.verdict is Verdict.FREE
 
     asyncio.run(async_test())
@@ -152,7 +152,7 @@
 def test_invalid_row_is_ignored():
     daemon = Daemon(FakeTable())
     for value in (7, "x", {"until_unix_s": "soon"}, [], {"endings": 3}):
-        daemon.persistence.take_row(KEY, value)
+        daemon.persistence.apply_row(KEY, value)
     assert daemon.verdict is Verdict.FREE
 
 
@@ -187,8 +187,8 @@
             run = BrokenRun(BAD, about, EndpointId(endpoint), 1, "x:1", 0.0)
             await daemon.quarantine.async_note_broken(run)
         await asyncio.sleep(0.05)
-        news = decode_news(encode_news(sent[0]), "d2")
-        assert len(news.runs[0].about) <= const.MAX_ABOUT_CHARS
+        message = decode_entry_message(encode_entry_message(sent[0]), "d2")
+        assert len(message.runs[0].about) <= const.MAX_ABOUT_CHARS
         hold = daemon.quarantine.table.holds()[BAD]
         assert msgspec.json.decode(msgspec.json.encode(hold), type=Hold) == hold
 
@@ -220,9 +220,9 @@
         for daemon in daemons:
             daemon.persistence.note_restored(set(rows))
             for key in before - rows.keys():
-                daemon.persistence.take_row(key, None, is_restored=True)
+                daemon.persistence.apply_row(key, None, is_restored=True)
             for key, row in rows.items():
-                daemon.persistence.take_row(key, row.value, is_restored=True)
+                daemon.persistence.apply_row(key, row.value, is_restored=True)
 
 
 def test_hold_missing_in_a_restored_store_is_kept_and_written_again():
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -6,8 +6,8 @@
 
 from chutelink.ids import EndpointId, Fingerprint, Incarnation
 from chutelink.quarantine.const import ENDINGS_TO_HOLD, LATE_EVIDENCE_S
+from chutelink.quarantine.messages import ClearedMessage, EndedRun, EndingsMessage
 from chutelink.quarantine.model import BrokenRun, Ending, Verdict
-from chutelink.quarantine.news import ClearedNews, EndedRun, EndingNews
 from chutelink.quarantine.probe import ConnectProbe, EndingProbe, ProbeResult
 from chutelink.quarantine.service import Quarantine
 
@@ -89,7 +89,7 @@
         core.now_s += 1.0
         await quarantine.async_note_broken(broken_run(1, sent_s=core.now_s - 0.1))
         ended = EndedRun(BAD, "GET a/b", Ending(EndpointId("i-1"), 2))
-        quarantine.take_endings(EndingNews([ended]), "d2")
+        quarantine.apply_endings(EndingsMessage([ended]), "d2")
         assert len(quarantine.table.get(BAD).endings) == 1
 
     run(async_test)
@@ -134,7 +134,7 @@
         for number, result in enumerate((ProbeResult.ACCEPTED, ProbeResult.SILENT)):
             probe.result = result
             await quarantine.async_note_broken(broken_run(number))
-            quarantine.note_vanished(Incarnation(f"i-{number}@1"))
+            quarantine.note_registration_lapsed(Incarnation(f"i-{number}@1"))
         assert quarantine.table.get(BAD).endings == (Ending(EndpointId("i-1"), 1),)
 
     run(async_test)
@@ -148,7 +148,7 @@
         await asyncio.gather(*(quarantine.async_note_broken(r) for r in runs))
         await asyncio.sleep(0.05)
         assert probe.calls == 1
-        assert [len(news.runs) for news in sent] == [64]
+        assert [len(message.runs) for message in sent] == [64]
 
     run(async_test)
 
@@ -160,11 +160,11 @@
         await quarantine.async_note_broken(broken_run(1))
         await asyncio.sleep(0.05)
         for _ in range(ENDINGS_TO_HOLD):
-            quarantine.take_endings(sent[0], "d2")
+            quarantine.apply_endings(sent[0], "d2")
         assert quarantine.verdict(BAD) is Verdict.FREE
         for number in range(2, ENDINGS_TO_HOLD + 1):
             ended = EndedRun(BAD, "GET a/b", Ending(EndpointId(f"i-{number}"), 1))
-            quarantine.take_endings(EndingNews([ended]), "d2")
+            quarantine.apply_endings(EndingsMessage([ended]), "d2")
         assert quarantine.verdict(BAD) is Verdict.HELD
 
     run(async_test)
@@ -183,7 +183,7 @@
         assert quarantine.verdict(BAD) is Verdict.HELD
         quarantine.note_success(BAD)
         assert quarantine.verdict(BAD) is Verdict.FREE
-        assert ClearedNews(BAD) in sent
+        assert ClearedMessage(BAD) in sent
 
     run(async_test)
 
--- a/tests/quarantine/test_suspect_machine.py
+++ b/tests/quarantine/test_suspect_machine.py
@@ -13,8 +13,8 @@
 
 from chutelink.ids import EndpointId, Fingerprint
 from chutelink.quarantine import const
-from chutelink.quarantine.judge import EndingCount
 from chutelink.quarantine.model import Ending, Verdict
+from chutelink.quarantine.policy import EndingCountPolicy
 from chutelink.quarantine.table import SuspectTable
 
 REQUESTS = st.sampled_from([Fingerprint(name) for name in "abcdef"])
@@ -26,7 +26,7 @@
 
     def __init__(self):
         super().__init__()
-        self.policy = EndingCount()
+        self.policy = EndingCountPolicy()
         self.table = SuspectTable(self.policy)
         self.now_s = 0.0
         self.endings: dict[Fingerprint, set[Ending]] = {}
@@ -77,14 +77,14 @@
 
 
 def test_ending_counts_once_however_often_it_is_reported():
-    table = SuspectTable(EndingCount())
+    table = SuspectTable(EndingCountPolicy())
     assert not any(add(table, "a", "i-1@1") for _ in range(5))
     assert not add(table, "a", "i-1@2")
     assert add(table, "a", "i-1@3")
 
 
 def test_trials_are_limited_and_their_intervals_grow():
-    policy = EndingCount()
+    policy = EndingCountPolicy()
     table = SuspectTable(policy)
     hold_one(table, "a")
     hold = table.holds()[Fingerprint("a")]
@@ -100,7 +100,7 @@
 
 
 def test_table_stays_bounded_under_endless_new_suspects():
-    table = SuspectTable(EndingCount())
+    table = SuspectTable(EndingCountPolicy())
     for number in range(2 * const.MAX_SUSPECTS):
         add(table, f"s{number}", "i-1@1")
     for number in range(2 * const.MAX_HOLDS):
@@ -112,7 +112,7 @@
 
 
 def test_suspect_expires():
-    table = SuspectTable(EndingCount())
+    table = SuspectTable(EndingCountPolicy())
     add(table, "a", "i-1@1")
     add(table, "b", "i-2@1", const.SUSPECT_RETENTION_S + 1)
     assert Fingerprint("a") not in table
@@ -120,7 +120,7 @@
 
 def test_full_table_evicts_without_a_scan():
     """The cost of adding a run must not depend on the size of the table."""
-    table = SuspectTable(EndingCount())
+    table = SuspectTable(EndingCountPolicy())
     for number in range(const.MAX_SUSPECTS):
         add(table, f"s{number}", "i-1@1")
     lookups = []
--- a/tests/quarantine/test_web.py
+++ b/tests/quarantine/test_web.py
@@ -11,8 +11,8 @@
 from chutelink.cli.output import ExitCode
 from chutelink.ids import EndpointId, Fingerprint
 from chutelink.quarantine.const import ENDINGS_TO_HOLD
+from chutelink.quarantine.messages import ClearedMessage, EndedRun, EndingsMessage
 from chutelink.quarantine.model import Ending, Verdict
-from chutelink.quarantine.news import ClearedNews, EndedRun, EndingNews
 from chutelink.quarantine.service import Quarantine
 from chutelink.quarantine.web import QuarantineHandlers
 from chutelink.settings import PlatformSection
@@ -32,7 +32,7 @@
             EndedRun(BAD, "GET a/b", Ending(EndpointId(f"i-{n}"), 1))
             for n in range(ENDINGS_TO_HOLD)
         ]
-        quarantine.take_endings(EndingNews(runs), "d2")
+        quarantine.apply_endings(EndingsMessage(runs), "d2")
         app = web.Application()
         QuarantineHandlers(quarantine, "key").add_routes(app)
         runner = web.AppRunner(app, access_log=None)
@@ -54,7 +54,7 @@
             freed = await async_held(session, settings, daemon, BAD)
             assert freed.code is ExitCode.OK
             assert quarantine.verdict(BAD) is Verdict.FREE
-            assert sent == [ClearedNews(BAD)]
+            assert sent == [ClearedMessage(BAD)]
             again = await async_held(session, settings, daemon, BAD)
             assert again.code is ExitCode.INVALID
         await runner.cleanup()
--- a/tests/rates.py
+++ b/tests/rates.py
@@ -8,7 +8,7 @@
 """The window in which operators count requests against a limit."""
 
 
-def most_in_window(times_s: Iterable[float], window_s: float) -> int:
+def max_events_in_window(times_s: Iterable[float], window_s: float) -> int:
     """Return the largest number of events in any sliding window."""
     ordered = sorted(times_s)
     first = most = 0
@@ -19,6 +19,6 @@
     return most
 
 
-def allowed_in_window(limit_per_s: float) -> float:
+def max_requests_in_window(limit_per_s: float) -> float:
     """Return how many requests an endpoint with a limit may receive in a window."""
     return 1.5 * limit_per_s * LIMIT_WINDOW_S + 5
--- a/tests/relaying/world.py
+++ b/tests/relaying/relay_harness.py
@@ -11,34 +11,34 @@
 import aiohttp
 from aiohttp import web
 
-from chutelink.customers.gate import CustomerGate
+from chutelink.customers.access import CustomerAccess
 from chutelink.customers.holders import HolderView
 from chutelink.entry.config import RouteTable
-from chutelink.entry.http import CallerHttp
-from chutelink.entry.loads import LoadBook
+from chutelink.entry.http import CallerServer
+from chutelink.entry.load_tracker import LoadTracker
 from chutelink.entry.pending import PendingTable
 from chutelink.entry.state import EntryState
-from chutelink.limits.permits import PermitDesk
-from chutelink.platform.adapter import PreparedMachines as Adapter
+from chutelink.limits.permits import PermitManager
+from chutelink.platform.adapter import PreparedMachinesAdapter
 from chutelink.quarantine.service import Quarantine
-from chutelink.relaying.dispatching import Exchanges
+from chutelink.relaying.exchange_dispatcher import ExchangeDispatcher
 from chutelink.relaying.relay import Relay
-from chutelink.relaying.retries import RetryShare
+from chutelink.relaying.retry_budget import RetryBudgetShare
 from chutelink.relaying.routing import LeastLoss
 from chutelink.relaying.stream import StreamRelay
 from chutelink.relaying.upstream import Upstream
-from chutelink.watching.followed import Knowledge, RowChange
+from chutelink.watching.table_state import RowChange, TableFreshness
 from standins.prepared import PreparedMachines
 from standins.prepared_config import make_config
 from standins.prepared_endpoint import EndpointStandin
 
-from ..fakes import make_core, make_quotas
+from ..fakes import make_core, make_quota_manager
 
 HOST = "127.0.0.1"
 SERVICES = {"llm": "llm", "plain": "plain"}
 
 
-class World:
+class RelayHarness:
     """Stand-in endpoints behind the HTTP interface of an entry daemon."""
 
     def __init__(self) -> None:
@@ -49,15 +49,15 @@
             id="d1", failure_domain="zone-a", peer_key="key"
         )
         self.quarantine = Quarantine(self.core)
-        self.known = EntryState(self.core, Adapter(), self.quarantine)
+        self.known = EntryState(self.core, PreparedMachinesAdapter(), self.quarantine)
         self.pending = PendingTable()
-        self.loads = LoadBook()
-        self.retries = RetryShare(0.2, 50, 10.0)
-        self.quotas = make_quotas(self.core)
+        self.loads = LoadTracker()
+        self.retry_budget = RetryBudgetShare(0.2, 50, 10.0)
+        self.quotas = make_quota_manager(self.core)
         own = self.core.daemon_id
-        self.quotas.take_view(HolderView(own, frozenset({own})))
-        self.config_knowledge = Knowledge(1, 0.0)
-        self.customers = CustomerGate(self.quotas, lambda: self.config_knowledge, 2.0)
+        self.quotas.update_holder_view(HolderView(own, frozenset({own})))
+        self.config_knowledge = TableFreshness(1, 0.0)
+        self.customers = CustomerAccess(self.quotas, lambda: self.config_knowledge, 2.0)
         self.known.on_config = self._apply_config
         self.upstream = Upstream()
         self.session = aiohttp.ClientSession()
@@ -67,31 +67,31 @@
     async def async_start(self) -> None:
         known = self.known
         policy = LeastLoss(known.health, known.prefixes, known.speeds, known.durations)
-        exchanges = Exchanges(
+        dispatcher = ExchangeDispatcher(
             self.core,
-            Adapter().make_dialect(),
+            PreparedMachinesAdapter().make_header_codec(),
             known.endpoints,
             known.health,
             known.prefixes,
             known.speeds,
             known.durations,
-            known.reading,
+            known.prefill_table,
             self.pending,
             self.loads,
-            self.retries,
+            self.retry_budget,
             policy,
             self.quarantine,
-            PermitDesk(self.core),
+            PermitManager(self.core),
         )
-        self.exchanges = exchanges
-        self.relay = relay = Relay(exchanges, self.upstream)
-        streams = StreamRelay(self.core, exchanges, self.upstream, relay)
-        exchanges.on_second_run = lambda exchange: self.customers.charge_again(
+        self.dispatcher = dispatcher
+        self.relay = relay = Relay(dispatcher, self.upstream)
+        streams = StreamRelay(self.core, dispatcher, self.upstream, relay)
+        dispatcher.on_rerun = lambda exchange: self.customers.charge_again(
             exchange.admission
         )
-        self.http = CallerHttp(
+        self.http = CallerServer(
             self.core,
-            exchanges,
+            dispatcher,
             relay,
             streams,
             self.customers,
@@ -117,12 +117,12 @@
     def register(self, endpoint: EndpointStandin) -> None:
         """Pass an endpoint's current registration to the daemon."""
         key = f"endpoints/{endpoint.name}"
-        self.known.take_row(RowChange(key, endpoint.registration()))
+        self.known.apply_row(RowChange(key, endpoint.registration()))
 
     def configure(self, version: int = 1, **changes: object) -> None:
         config = make_config(version, SERVICES, **changes)
-        kept = Adapter().compact_row("config/config", config)
-        self.known.take_row(RowChange("config/config", kept))
+        kept = PreparedMachinesAdapter().compact_row("config/config", config)
+        self.known.apply_row(RowChange("config/config", kept))
 
     def _apply_config(self) -> None:
         self.quotas.sync(self.known.routes.config.customers or {})
@@ -146,8 +146,8 @@
 
 
 @asynccontextmanager
-async def async_world() -> AsyncIterator[World]:
-    harness = World()
+async def async_relay_harness() -> AsyncIterator[RelayHarness]:
+    harness = RelayHarness()
     await harness.async_start()
     try:
         yield harness
--- a/tests/relaying/test_deadly_requests.py
+++ b/tests/relaying/test_crashing_requests.py
@@ -14,9 +14,9 @@
 from types import SimpleNamespace
 
 from chutelink.exceptions import ConnectionBroken
-from standins.prepared_endpoint import DEADLY
+from standins.prepared_endpoint import CRASH_BODY
 
-from .world import async_world
+from .relay_harness import async_relay_harness
 
 MAX_REQUESTS = 10
 MAX_CRASHES = 3
@@ -42,7 +42,9 @@
     """Send the same content repeatedly, each time with a new request id."""
     statuses = []
     for number in range(MAX_REQUESTS):
-        async with harness.request(path, f"bad-{number}", DEADLY, **headers) as answer:
+        async with harness.request(
+            path, f"bad-{number}", CRASH_BODY, **headers
+        ) as answer:
             await answer.read()
             statuses.append(answer.status)
         await asyncio.sleep(0.05)
@@ -51,14 +53,14 @@
 
 async def async_count_crashes(path: str, service: str, **headers: str) -> int:
     """Return how many endpoints a repeated request crashes."""
-    async with async_world() as harness:
-        harness.machines.away_s = 0.1
+    async with async_relay_harness() as harness:
+        harness.machines.restart_delay_s = 0.1
         harness.configure()
         models = {"m0": []} if service == "llm" else {}
         endpoints = await async_add_endpoints(harness, service, models)
         task = asyncio.ensure_future(async_register_restarts(harness))
         statuses = await async_send_repeatedly(harness, path, **headers)
-        crashes = sum(endpoint.ends for endpoint in endpoints)
+        crashes = sum(endpoint.crash_count for endpoint in endpoints)
         if crashes <= MAX_CRASHES:
             # A quarantined request is refused as not run.
             assert statuses[-1] == 503
@@ -86,7 +88,7 @@
     """The address accepts connections again; only the start time differs."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
             row = harness.known.endpoints.rows["i-1"]
--- a/tests/relaying/test_customers.py
+++ b/tests/relaying/test_customers.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from chutelink.watching.followed import Knowledge
+from chutelink.watching.table_state import TableFreshness
 
-from .world import async_world
+from .relay_harness import async_relay_harness
 
 ACME = {"name": "acme", "keys": ["key-1", "key-2"], "priority": 2}
 OTHER = {"name": "other", "keys": ["key-3"]}
@@ -31,23 +31,23 @@
 
 def test_customer_is_forwarded_to_endpoints_without_key():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             harness.configure(tenants=CUSTOMERS)
             status, _, _ = await async_send(
                 harness, "/once/x", Authorization="Bearer key-1", X_Tenant="other"
             )
             assert status == 200
-            assert plain.seen[0]["X-Tenant"] == "acme"
-            assert "key-1" not in json.dumps(plain.seen)
-            assert "Authorization" not in plain.seen[0]
+            assert plain.received_headers[0]["X-Tenant"] == "acme"
+            assert "key-1" not in json.dumps(plain.received_headers)
+            assert "Authorization" not in plain.received_headers[0]
 
     asyncio.run(main())
 
 
 def test_resumed_stream_names_same_customer():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             models = {"m0": []}
             first = await harness.async_add("e1", "llm", models)
             second = await harness.async_add("e2", "llm", models)
@@ -65,10 +65,10 @@
                 for number in range(6)
             ]
             await asyncio.gather(*sends)
-            seen = first.seen + second.seen
-            assert any("Last-Event-ID" in headers for headers in seen)
-            assert {headers["X-Tenant"] for headers in seen} == {"acme"}
-            assert not any("Authorization" in headers for headers in seen)
+            received_headers = first.received_headers + second.received_headers
+            assert any("Last-Event-ID" in headers for headers in received_headers)
+            assert {headers["X-Tenant"] for headers in received_headers} == {"acme"}
+            assert not any("Authorization" in headers for headers in received_headers)
 
     asyncio.run(main())
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("key", [None, "Bearer nobodys", "Basic key-1", "Bearer "])
 def test_invalid_key_is_refused(key):
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             harness.configure(tenants=CUSTOMERS)
             headers = {} if key is None else {"Authorization": key}
@@ -93,10 +93,10 @@
     """The key may be new: a caller would not retry after a 401."""
 
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             await harness.async_add("p1", "plain")
             harness.configure(tenants=CUSTOMERS)
-            harness.config_knowledge = Knowledge(1, 9.0)
+            harness.config_knowledge = TableFreshness(1, 9.0)
             status, answer, _ = await async_send(
                 harness, "/once/x", Authorization="Bearer new"
             )
@@ -112,7 +112,7 @@
 
 def test_keys_are_added_removed_and_moved_by_new_versions():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             harness.configure(1, tenants=[ACME, OTHER])
             moved = [ACME | {"keys": ["key-1"]}, OTHER | {"keys": ["key-2", "key-5"]}]
@@ -125,7 +125,7 @@
                 )
                 statuses.append(status)
             assert statuses == [200, 200, 401, 200]
-            forwarded = [headers["X-Tenant"] for headers in plain.seen]
+            forwarded = [headers["X-Tenant"] for headers in plain.received_headers]
             assert forwarded == ["acme", "other", "other"]
 
     asyncio.run(main())
@@ -133,7 +133,7 @@
 
 def test_anonymous_route_needs_no_key():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             harness.configure(tenants=CUSTOMERS, anonymous=["r-once"])
             for number, key in enumerate([{}, {"Authorization": "Bearer nobodys"}]):
@@ -141,7 +141,7 @@
                     harness, "/once/x", f"q{number}", X_Tenant="acme", **key
                 )
                 assert status == 200
-            assert not any("X-Tenant" in headers for headers in plain.seen)
+            assert not any("X-Tenant" in headers for headers in plain.received_headers)
             status, _, _ = await async_send(harness, "/again/x", "q9")
             assert status == 401
 
@@ -150,21 +150,21 @@
 
 def test_keys_are_not_forwarded_without_customers_in_configuration():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             harness.configure()
             status, _, _ = await async_send(
                 harness, "/once/x", Authorization="Bearer k", X_Tenant="acme"
             )
             assert status == 200
-            assert not {"Authorization", "X-Tenant"} & plain.seen[0].keys()
+            assert not {"Authorization", "X-Tenant"} & plain.received_headers[0].keys()
 
     asyncio.run(main())
 
 
 def test_customer_priority_overrides_route_priority():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             engine = await harness.async_add("e1", "llm", {"m0": []})
             harness.configure(tenants=CUSTOMERS)
             for number, key in enumerate(["key-1", "key-3"]):
@@ -176,7 +176,9 @@
                     X_Model="m0",
                     X_Token_Count="5,1",
                 )
-            forwarded = [headers["X-Request-Urgency"] for headers in engine.seen]
+            forwarded = [
+                headers["X-Request-Urgency"] for headers in engine.received_headers
+            ]
             # The customer's priority, 2; the route's, 1, if the customer has none.
             assert forwarded == ["4", "2"]
 
@@ -185,7 +187,7 @@
 
 def test_customer_over_quota_is_refused_with_retry_after():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             harness.configure(0, tenants=[ACME])
             harness.configure(1, tenants=CUSTOMERS)
@@ -213,7 +215,7 @@
 
 def test_refusal_over_quota_does_not_wait_for_body():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             await harness.async_add("p1", "plain")
             harness.configure(0, tenants=[ACME])
             harness.configure(1, tenants=CUSTOMERS)
@@ -240,7 +242,7 @@
 
 def test_quota_is_refunded_for_request_that_was_not_run():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             plain = await harness.async_add("p1", "plain")
             plain.faults = type(plain.faults)(refuse=9)
             harness.configure(0, tenants=[ACME])
@@ -258,7 +260,7 @@
 
 def test_retry_of_request_that_may_have_run_is_charged_twice():
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             for name in ("p1", "p2"):
                 plain = await harness.async_add(name, "plain")
                 plain.faults = type(plain.faults)(foreign=1)
@@ -274,7 +276,7 @@
 
 def test_keys_are_not_logged(capfd):
     async def main():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             await harness.async_add("p1", "plain")
             harness.configure(tenants=CUSTOMERS)
             for key in ("key-1", "wrong-key"):
--- a/tests/relaying/test_leaving_notices.py
+++ b/tests/relaying/test_leaving_notices.py
@@ -6,11 +6,15 @@
 
 import pytest
 
-from chutelink.entry.news import LeavingEndpoint, decode_news, encode_news
-from chutelink.watching.followed import RowChange
+from chutelink.entry.messages import (
+    LeavingEndpoint,
+    decode_entry_message,
+    encode_entry_message,
+)
+from chutelink.watching.table_state import RowChange
 
+from .relay_harness import async_relay_harness
 from .test_limits import ROUTES, async_send
-from .world import async_world
 
 
 async def async_add_leaving(harness, service, models):
@@ -27,11 +31,11 @@
 def expire_registration(harness, name: str) -> None:
     """Let a registration lapse while the store is unavailable."""
     until_s = harness.core.clock() + 60.0
-    harness.known.take_row(RowChange(f"endpoints/{name}", None, back_until_s=until_s))
+    harness.known.apply_row(RowChange(f"endpoints/{name}", None, back_until_s=until_s))
 
 
 def remove_registration(harness, name: str) -> None:
-    harness.known.take_row(RowChange(f"endpoints/{name}", None))
+    harness.known.apply_row(RowChange(f"endpoints/{name}", None))
 
 
 @pytest.mark.parametrize("route", ROUTES)
@@ -39,7 +43,7 @@
     path, service, models, headers = ROUTES[route]
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             leaving = await async_add_leaving(harness, service, models)
             assert await async_send(harness, path, 1, **headers) == [200]
@@ -58,7 +62,7 @@
     """The registration says ready during a store outage and after it."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             leaving = await async_add_leaving(harness, "plain", None)
             assert await async_send(harness, "/once/x", 1) == [200]
@@ -72,7 +76,7 @@
 
 def test_restarted_endpoint_gets_requests_again():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await async_add_leaving(harness, "plain", None)
             await async_send(harness, "/once/x", 1)
@@ -86,16 +90,16 @@
 
 def test_leaving_notice_is_announced_once_and_applied_by_other_daemons():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await async_add_leaving(harness, "plain", None)
             await async_send(harness, "/once/x", 1)
             update = harness.loads.take("d1", harness.known.endpoints, [])
-            announced = decode_news(encode_news(update), "d1").leaving
+            announced = decode_entry_message(encode_entry_message(update), "d1").leaving
             assert announced == [LeavingEndpoint("i-1", 0)]
             next_update = harness.loads.take("d1", harness.known.endpoints, [])
             assert next_update is None or not next_update.leaving
-        async with async_world() as other:
+        async with async_relay_harness() as other:
             other.configure()
             endpoint = await async_add_leaving(other, "plain", None)
             other.known.endpoints.note_leaving(
--- a/tests/relaying/test_limits.py
+++ b/tests/relaying/test_limits.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from chutelink.entry.news import decode_news, encode_news
+from chutelink.entry.messages import decode_entry_message, encode_entry_message
 from chutelink.limits import model
-from chutelink.limits.news import EndpointLimit
+from chutelink.limits.messages import EndpointLimit
 
-from ..rates import LIMIT_WINDOW_S, allowed_in_window, most_in_window
-from .world import async_world
+from ..rates import LIMIT_WINDOW_S, max_events_in_window, max_requests_in_window
+from .relay_harness import async_relay_harness
 
 STREAM = {"X_Model": "m0", "X_Token_Count": "10,2"}
 ROUTES = {
@@ -44,14 +44,14 @@
     path, service, models, headers = ROUTES[route]
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             limited = await async_add_limited(harness, "i-1", service, models)
             other = await harness.async_add("i-2", service, models)
             statuses = await async_send(harness, path, 60, **headers)
             assert set(statuses) == {200}
-            most_received = most_in_window(limited.arrived_s, LIMIT_WINDOW_S)
-            assert most_received <= allowed_in_window(1.0)
+            most_received = max_events_in_window(limited.arrived_s, LIMIT_WINDOW_S)
+            assert most_received <= max_requests_in_window(1.0)
             assert len(other.runs) >= 60 - most_received
 
     asyncio.run(async_test())
@@ -62,25 +62,25 @@
     path, service, models, headers = ROUTES[route]
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             limited = await async_add_limited(harness, "i-1", service, models)
             statuses = await async_send(harness, path, 40, **headers)
             assert set(statuses) == {200, 503}
-            most_received = most_in_window(limited.arrived_s, LIMIT_WINDOW_S)
-            assert most_received <= allowed_in_window(1.0)
+            most_received = max_events_in_window(limited.arrived_s, LIMIT_WINDOW_S)
+            assert most_received <= max_requests_in_window(1.0)
 
     asyncio.run(async_test())
 
 
 def test_limit_received_from_another_daemon_is_enforced():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             limited = await harness.async_add("i-1", "plain")
             other = await harness.async_add("i-2", "plain")
             update = EndpointLimit("i-1", 0, 1.0)
-            harness.known.endpoints.take_limit(update, harness.core.clock())
+            harness.known.endpoints.update_limit(update, harness.core.clock())
             assert set(await async_send(harness, "/once/x", 10)) == {200}
             assert not limited.runs and len(other.runs) == 10
 
@@ -89,7 +89,7 @@
 
 def test_endpoint_is_used_as_before_once_its_limit_is_lifted():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             limited = await async_add_limited(harness, "i-1", "plain", None, 20.0)
             await async_send(harness, "/once/x", 3)
@@ -104,7 +104,7 @@
     """All requests that wait for a load continue at the same moment."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await async_add_limited(harness, "i-1", "llm", {"m0": []})
             await async_send(harness, "/stream/x", 1, **STREAM)
@@ -122,15 +122,15 @@
             harness.pending.signal()
             statuses = [status for done in waiting for status in await done]
             assert set(statuses) <= {200, 503}
-            most_received = most_in_window(endpoint.arrived_s, LIMIT_WINDOW_S)
-            assert most_received <= allowed_in_window(1.0)
+            most_received = max_events_in_window(endpoint.arrived_s, LIMIT_WINDOW_S)
+            assert most_received <= max_requests_in_window(1.0)
 
     asyncio.run(async_test())
 
 
 def test_request_waits_for_load_if_only_endpoint_is_at_limit():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await async_add_limited(harness, "i-1", "llm", {"m0": []}, 0.1)
             other = await harness.async_add("i-2", "llm", {"m1": []})
@@ -153,12 +153,12 @@
 
 def test_limit_and_its_removal_are_announced_to_other_daemons():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             limited = await async_add_limited(harness, "i-1", "plain", None, 20.0)
             await async_send(harness, "/once/x", 1)
             update = harness.loads.take("d1", harness.known.endpoints, [])
-            announced = decode_news(encode_news(update), "d1").limits
+            announced = decode_entry_message(encode_entry_message(update), "d1").limits
             assert announced == [EndpointLimit("i-1", 0, 20.0)]
             limited.faults = type(limited.faults)()
             await async_send(harness, "/once/x", 1, first=1)
@@ -173,7 +173,7 @@
     monkeypatch.setattr(model, "DOUBTFUL_S", 0.2)
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             limited = await async_add_limited(harness, "i-1", "plain", None, 20.0)
             await harness.async_add("i-2", "plain")
--- a/tests/relaying/test_pauses.py
+++ b/tests/relaying/test_pauses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from .relay_harness import async_relay_harness
 from .test_limits import ROUTES, async_send
-from .world import async_world
 
 PAUSE_S = 1.0
 
@@ -23,7 +23,7 @@
     path, service, models, headers = ROUTES[route]
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             pausing = await async_add_pausing(harness, service, models)
             other = await harness.async_add("i-2", service, models)
@@ -45,7 +45,7 @@
     path, service, models, headers = ROUTES[route]
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             pausing = await async_add_pausing(harness, service, models)
             statuses = await async_send(harness, path, 5, **headers)
@@ -63,7 +63,7 @@
 
 def test_retry_after_covers_pause():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await async_add_pausing(harness, "plain", None)
             await async_send(harness, "/once/x", 1)
@@ -80,7 +80,7 @@
     """The route allows two endpoints per request."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             for number in range(count):
                 endpoint = await harness.async_add(f"i-{number}", "plain")
--- a/tests/relaying/test_quick_restarts.py
+++ b/tests/relaying/test_quick_restarts.py
@@ -18,7 +18,7 @@
 from chutelink.quarantine.const import ENDINGS_TO_HOLD
 from standins.prepared import PreparedMachines
 
-from .test_deadly_requests import async_count_crashes
+from .test_crashing_requests import async_count_crashes
 
 ROUTES = {
     "idempotent": ("/again/x", "plain", {}),
@@ -58,12 +58,12 @@
 
 
 @pytest.mark.parametrize("route", ROUTES)
-@pytest.mark.parametrize("away_s", [0.02, 0.05, 0.3])
+@pytest.mark.parametrize("restart_delay_s", [0.02, 0.05, 0.3])
 def test_crashes_are_counted_individually_for_any_restart_time(
-    route, away_s, monkeypatch
+    route, restart_delay_s, monkeypatch
 ):
-    fixed = property(lambda machines: away_s, lambda machines, value: None)
-    monkeypatch.setattr(PreparedMachines, "away_s", fixed, raising=False)
+    fixed = property(lambda machines: restart_delay_s, lambda machines, value: None)
+    monkeypatch.setattr(PreparedMachines, "restart_delay_s", fixed, raising=False)
     path, service, headers = ROUTES[route]
     crashes = asyncio.run(async_count_crashes(path, service, **headers))
     assert 1 <= crashes <= ENDINGS_TO_HOLD
--- a/tests/relaying/test_relay.py
+++ b/tests/relaying/test_relay.py
@@ -4,27 +4,27 @@
 
 import asyncio
 
-from .world import async_world
+from .relay_harness import async_relay_harness
 
 
 def test_response_is_forwarded_unchanged():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
             async with harness.request("/once/x?y=%2F") as answer:
                 assert answer.status == 200
                 assert await answer.read() == b"done body"
                 assert answer.headers["X-Server-Seal"] == "seal-i-1"
-            assert endpoint.seen[0]["X-Expect-Instance"] == "i-1"
-            assert int(endpoint.seen[0]["X-Deadline-Ms"]) <= 3000
+            assert endpoint.received_headers[0]["X-Expect-Instance"] == "i-1"
+            assert int(endpoint.received_headers[0]["X-Deadline-Ms"]) <= 3000
 
     asyncio.run(async_test())
 
 
 def test_reserved_headers_of_callers_are_not_forwarded():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
             reserved_headers = {
@@ -35,7 +35,7 @@
             reserved_headers |= {"X_Kv_Backup": "10.0.0.1:80", "X_Request_Urgency": "0"}
             async with harness.request("/once/x", **reserved_headers) as answer:
                 assert answer.status == 200
-            sent = {name.lower() for name in endpoint.seen[0]}
+            sent = {name.lower() for name in endpoint.received_headers[0]}
             names = {name.replace("_", "-").lower() for name in reserved_headers}
             assert not sent & names
 
@@ -44,7 +44,10 @@
 
 def test_requests_without_configuration_are_refused_as_not_run():
     async def async_test():
-        async with async_world() as harness, harness.request("/once/x") as answer:
+        async with (
+            async_relay_harness() as harness,
+            harness.request("/once/x") as answer,
+        ):
             assert answer.status == 503
             assert float(answer.headers["Retry-After"]) > 0
 
@@ -53,7 +56,7 @@
 
 def test_unknown_route_returns_404():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             async with harness.request("/nowhere/") as answer:
                 assert answer.status == 404
@@ -63,7 +66,7 @@
 
 def test_request_that_was_not_run_is_retried_at_another_endpoint():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             second = await harness.async_add("i-2", "plain")
@@ -81,7 +84,7 @@
 
 def test_non_idempotent_request_runs_once_if_response_is_lost():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             second = await harness.async_add("i-2", "plain")
@@ -97,7 +100,7 @@
 
 def test_reset_of_body_without_length_is_not_treated_as_complete():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             first.faults = type(first.faults)(reset_unframed=1)
@@ -111,7 +114,7 @@
 
 def test_idempotent_request_is_retried_after_server_error():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             second = await harness.async_add("i-2", "plain")
@@ -125,7 +128,7 @@
 
 def test_server_error_is_forwarded_if_every_endpoint_fails():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             first.faults = type(first.faults)(errors=2)
@@ -139,7 +142,7 @@
 
 def test_response_to_another_request_is_never_forwarded():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             first.faults = type(first.faults)(foreign=1)
@@ -152,7 +155,7 @@
 
 def test_body_over_limit_is_refused_without_dispatch():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure(limits={"body_bytes": 2})
             endpoint = await harness.async_add("i-1", "plain")
             async with harness.request("/once/x") as answer:
@@ -164,7 +167,7 @@
 
 def test_headers_over_limit_are_refused():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure(limits={"header_bytes": 200})
             await harness.async_add("i-1", "plain")
             async with harness.request("/once/x", X_Long="x" * 300) as answer:
@@ -175,7 +178,7 @@
 
 def test_request_times_out_at_deadline():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
             endpoint.faults = type(endpoint.faults)(mute=1)
@@ -189,7 +192,7 @@
 
 def test_endpoint_request_is_cancelled_if_caller_disconnects():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
             endpoint.faults = type(endpoint.faults)(mute=1)
@@ -206,7 +209,7 @@
 
 def test_draining_endpoint_gets_no_new_requests():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "plain")
             second = await harness.async_add("i-2", "plain")
@@ -224,7 +227,7 @@
     """New connections work; only the timeout of the first attempt detects it."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
             async with harness.request("/again/x", "q1") as answer:
--- a/tests/relaying/test_routing.py
+++ b/tests/relaying/test_routing.py
@@ -8,7 +8,7 @@
 from chutelink.learning.health import HealthTable
 from chutelink.learning.prefixes import PrefixTable
 from chutelink.learning.speeds import SpeedTable
-from chutelink.relaying.routing import Candidate, LeastLoss
+from chutelink.relaying.routing import LeastLoss, RoutingRequest
 
 from ..placing.test_placement import make_site
 
@@ -31,7 +31,7 @@
             self.rows[name] = make_site(name, {"m0": []}).endpoint
 
     def choose(self, tokens: int = 800, chain: tuple[int, ...] = ()) -> str:
-        request = Candidate(
+        request = RoutingRequest(
             "m0", "", tokens, chain, (tokens,) * len(chain), "zone-a", 0.4
         )
         return self.policy.choose(list(self.rows.values()), request, NOW_S).record.id
@@ -86,7 +86,7 @@
     fixture = RoutingFixture()
     fixture.durations.note("m0", 2.0)
     row = fixture.rows["i-1"]
-    request = Candidate("m0", "", 0, (), (), "zone-a", 0.4)
+    request = RoutingRequest("m0", "", 0, (), (), "zone-a", 0.4)
     row.requests = SLOTS - 1
     assert fixture.policy.expected_s(row, request, NOW_S) == 0.0
     row.requests = SLOTS + 3
--- a/tests/relaying/test_signals.py
+++ b/tests/relaying/test_signals.py
@@ -6,8 +6,8 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from chutelink.entry.endpoints import EndpointRecord, EndpointState, EndpointTable
-from chutelink.entry.loads import LoadBook
-from chutelink.platform.headers import PlatformDialect
+from chutelink.entry.load_tracker import LoadTracker
+from chutelink.platform.headers import PlatformHeaderCodec
 from chutelink.relaying.signals import SignalReader
 
 from ..fakes import make_core, make_exchange
@@ -22,7 +22,9 @@
         self.core = make_core()
         self.table = EndpointTable()
         self.put(born_ms=1)
-        self.reader = SignalReader(self.core, PlatformDialect(), self.table, LoadBook())
+        self.reader = SignalReader(
+            self.core, PlatformHeaderCodec(), self.table, LoadTracker()
+        )
 
     def put(self, born_ms):
         ready = EndpointState.READY
--- a/tests/relaying/test_stream.py
+++ b/tests/relaying/test_stream.py
@@ -7,11 +7,11 @@
 import aiohttp
 import pytest
 
-from chutelink.entry.news import PendingLoad
+from chutelink.entry.messages import PendingLoad
 from chutelink.relaying.stream import stall_timeout_s
 from standins.prepared_config import make_config
 
-from .world import SERVICES, async_world
+from .relay_harness import SERVICES, async_relay_harness
 
 EVENTS = 8
 
@@ -27,7 +27,7 @@
 
 def test_stream_is_forwarded_completely():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             async with harness.request("/stream/x", **headers()) as answer:
@@ -39,7 +39,7 @@
 
 def test_broken_stream_resumes_at_another_endpoint():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "llm", {"m0": []})
             second = await harness.async_add("i-2", "llm", {"m0": []})
@@ -47,14 +47,14 @@
             async with harness.request("/stream/x", **headers()) as answer:
                 assert await answer.read() == expected()
                 assert answer.headers["X-Server-Seal"] == "seal-i-1"
-            assert second.seen[0]["Last-Event-ID"] == "3"
+            assert second.received_headers[0]["Last-Event-ID"] == "3"
 
     asyncio.run(async_test())
 
 
 def test_stream_that_can_not_resume_does_not_appear_complete():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "llm", {"m0": []})
             first.faults = type(first.faults)(cut_after_events=3, cuts=2)
@@ -67,7 +67,7 @@
 
 def test_caller_can_resume_stream():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             sent = headers() | {"Last_Event_Id": "5"}
@@ -79,7 +79,7 @@
 
 def test_request_for_model_without_load_is_refused():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             async with harness.request("/stream/x", **headers("m3")) as answer:
@@ -96,7 +96,7 @@
 
 def test_request_for_model_of_another_service_is_refused_at_once():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             async with harness.request("/stream/x", **headers("other")) as answer:
@@ -108,7 +108,7 @@
 
 def test_request_waits_for_load_that_fits_objective():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "llm", {"m0": []})
             task = asyncio.ensure_future(harness.request("/stream/x", **headers("m1")))
@@ -125,7 +125,7 @@
 
 def test_stream_is_aborted_at_deadline():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "llm", {"m0": []})
             sent = headers() | {"X_Token_Count": "10,5000", "X_Deadline_Ms": "150"}
@@ -140,7 +140,7 @@
 
 def test_endpoint_that_refuses_connections_gets_no_more_requests():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             first = await harness.async_add("i-1", "llm", {"m0": []})
             second = await harness.async_add("i-2", "llm", {"m0": []})
@@ -158,7 +158,7 @@
 
 def test_request_that_would_be_late_is_refused_with_retry_after():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             harness.known.endpoints.rows["i-1"].other_reading_s = 2.6
@@ -174,7 +174,7 @@
 
 def test_request_with_time_for_cold_load_waits_for_model():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             held = harness.known.endpoints.rows["i-1"].models.pop("m0")
@@ -196,7 +196,7 @@
 
 def test_only_endpoint_of_model_is_tried_twice():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "llm", {"m0": []})
             endpoint.faults = type(endpoint.faults)(cut_after_events=3)
@@ -209,7 +209,7 @@
 
 def test_stopping_daemon_refuses_requests_waiting_for_model():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             load = PendingLoad("i-1", "m1", "", 0.7)
@@ -229,7 +229,7 @@
     """Otherwise the caller would send another request to the stopping daemon."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             host, _, port = harness.url.removeprefix("http://").partition(":")
@@ -250,15 +250,15 @@
 
 def test_stopping_daemon_refuses_requests_that_can_not_finish():
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
             harness.known.durations.note("m0", 2.0)
-            harness.http.end_by(harness.core.clock() + 2.0)
+            harness.http.set_shutdown_deadline(harness.core.clock() + 2.0)
             async with harness.request("/stream/x", **headers()) as answer:
                 assert answer.status == 503
                 assert float(answer.headers["Retry-After"]) < 0.1
-            harness.http.end_by(harness.core.clock() + 8.0)
+            harness.http.set_shutdown_deadline(harness.core.clock() + 8.0)
             async with harness.request("/stream/x", "q2", **headers()) as answer:
                 assert await answer.read() == expected()
 
@@ -273,7 +273,7 @@
     objective_ms, max_pause_ms, limit_s
 ):
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             routes = make_config(1, SERVICES)["routes"]
             routes[0] |= {"slo_ms": objective_ms, "gap_target_ms": max_pause_ms}
             harness.configure(routes=routes)
@@ -288,7 +288,7 @@
     """The VM was suspended while it waited for its model; the caller has given up."""
 
     async def async_test():
-        async with async_world() as harness:
+        async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "llm", {"m0": []})
             task = asyncio.ensure_future(harness.request("/stream/x", **headers("m1")))
--- a/tests/relaying/test_waiting.py
+++ b/tests/relaying/test_waiting.py
@@ -7,10 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from chutelink.relaying.waiting import (
+from chutelink.relaying.model_wait import (
     ANNOUNCEMENT_WAIT_SHARE,
     ModelWait,
-    back_in_s,
+    model_retry_delay_s,
     wait_until_s,
 )
 
@@ -50,7 +50,7 @@
 
 def test_late_load_refuses_caller_that_can_retry_in_time():
     assert wait_until_s(replace(URGENT, ready_s=100.5)) <= 100.0
-    assert back_in_s(replace(URGENT, ready_s=100.9)) == pytest.approx(1.0)
+    assert model_retry_delay_s(replace(URGENT, ready_s=100.9)) == pytest.approx(1.0)
 
 
 def test_no_request_waits_beyond_time_at_which_caller_gives_up():
@@ -60,7 +60,7 @@
 
 
 def test_retry_delay_without_load_covers_cold_load():
-    assert back_in_s(PATIENT) == pytest.approx(6.1)
+    assert model_retry_delay_s(PATIENT) == pytest.approx(6.1)
 
 
 @given(
@@ -73,7 +73,7 @@
     if ready_in_s is not None:
         wait = replace(wait, ready_s=wait.now_s + ready_in_s)
     until_s = wait_until_s(wait)
-    assert back_in_s(wait) > 0
+    assert model_retry_delay_s(wait) > 0
     if until_s <= wait.now_s:
         return
     assert until_s <= max(wait.last_s, wait.due_s)
--- a/tests/store/test_http.py
+++ b/tests/store/test_http.py
@@ -18,7 +18,7 @@
 from chutelink.exceptions import PlatformUnavailable
 from chutelink.settings import PlatformSection
 from chutelink.store.breaker import FAILURES_TO_OPEN
-from chutelink.store.http import SECOND_TRY_SHARE, HttpCaller, ReadRetry
+from chutelink.store.http import READ_RETRY_FRACTION, PlatformServiceClient, ReadRetry
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 TIMEOUT_S = 0.5
@@ -59,7 +59,9 @@
     url = f"http://127.0.0.1:{port}"
     settings = PlatformSection(url=url, key="none", timeout_s=TIMEOUT_S)
     async with aiohttp.ClientSession() as session:
-        yield HttpCaller(session, settings, "store", on_retry=server.retries.append)
+        yield PlatformServiceClient(
+            session, settings, "store", on_retry=server.retries.append
+        )
     listener.close()
 
 
@@ -135,7 +137,7 @@
 
 def test_response_during_blocked_event_loop_prevents_retry():
     """On a busy machine, daemons retried reads that had already been answered."""
-    retry_after_s = SECOND_TRY_SHARE * TIMEOUT_S
+    retry_after_s = READ_RETRY_FRACTION * TIMEOUT_S
 
     class BlockedLoopServer(UnresponsiveServer):
         async def async_serve(self, reader, writer):
--- a/tests/tables/test_callers.py
+++ b/tests/tables/test_callers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from chutelink.fleet import parse_fleet
-from chutelink.peers.messages import QueueNews
+from chutelink.peers.messages import QueueUpdate
 from chutelink.tables.callers import CallerTable
 from chutelink.tables.queues import QueueTable
 
@@ -29,12 +29,14 @@
                 for _ in range(demand_per_s[i] // 100):
                     admitted[i] += table.take("c", now_s) == 0.0
         for i, table in enumerate(tables):
-            message = QueueNews(f"g{i}", "b", "a", second, {}, table.take_usage(1.0))
+            message = QueueUpdate(
+                f"g{i}", "b", "a", second, {}, table.collect_usage(1.0)
+            )
             for queue in queues:
                 queue.merge(message, second + 1.0)
         for i, table in enumerate(tables):
-            others = queues[i].callers_of_others(f"g{i}", second + 1.0)
-            table.share(others)
+            others = queues[i].caller_rates_of_others(f"g{i}", second + 1.0)
+            table.apply_usage_of_others(others)
     return admitted
 
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -12,7 +12,7 @@
 from chutelink.clock import BoottimeLoop
 from chutelink.core import Application
 from chutelink.settings import DaemonSection, PlatformSection
-from chutelink.store.http import HttpCaller
+from chutelink.store.http import PlatformServiceClient
 
 SUSPENDED_S = 30.0
 """Equal to the timeout in the test, which expires only if suspension counts."""
@@ -84,7 +84,7 @@
     async def async_test():
         async with aiohttp.ClientSession() as session:
             settings = PlatformSection(url="http://127.0.0.1:1", key="none")
-            caller = HttpCaller(session, settings, "store")
+            caller = PlatformServiceClient(session, settings, "store")
             before_s = caller.breaker._clock()
             suspend()
             assert caller.breaker._clock() - before_s >= SUSPENDED_S
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from chutelink.configuration import ConfigHead, ConfigKeeper
+from chutelink.configuration import ConfigHead, ConfigManager
 from chutelink.const import KEY_CONFIG_HEAD
 from chutelink.exceptions import PlatformUnavailable
 from chutelink.fleet import hash_fleet
@@ -38,27 +38,27 @@
     platform.table.table.commit(Transaction(WriteId("w"), (), (write,)))
 
 
-def make_keeper():
+def make_config_manager():
     platform = make_platform()
-    keeper = ConfigKeeper(make_core(), platform, make_mesh(), 1.0)
-    return platform, keeper
+    config_manager = ConfigManager(make_core(), platform, make_mesh(), 1.0)
+    return platform, config_manager
 
 
 def test_body_arriving_from_peer_during_fetch():
-    platform, keeper = make_keeper()
+    platform, config_manager = make_config_manager()
     commit(platform, 1)
     body = ConfigBody(ConfigVersion(1), hash_fleet(TEXT), TEXT)
-    platform.objects.on_get = lambda: keeper._on_peer_body(body)
-    asyncio.run(keeper._async_poll())
-    assert keeper.version == 1
-    assert keeper.is_confirmed
+    platform.objects.on_get = lambda: config_manager._on_peer_body(body)
+    asyncio.run(config_manager._async_poll())
+    assert config_manager.version == 1
+    assert config_manager.is_confirmed
 
 
 def test_first_poll_after_commit_applies_it_within_bound():
-    platform, keeper = make_keeper()
+    platform, config_manager = make_config_manager()
     commit(platform, 1)
-    asyncio.run(keeper._async_poll())
-    assert keeper.version == 1
+    asyncio.run(config_manager._async_poll())
+    assert config_manager.version == 1
     # The longest wait for the next poll, and the time limit of its two calls.
     defaults = PlatformSection(url="http://x", key="k")
     max_delay_s = defaults.poll_interval_s + defaults.timeout_s
@@ -66,39 +66,41 @@
 
 
 def test_stale_head_does_not_lower_version():
-    platform, keeper = make_keeper()
+    platform, config_manager = make_config_manager()
     commit(platform, 2)
-    asyncio.run(keeper._async_poll())
+    asyncio.run(config_manager._async_poll())
     commit(platform, 1)
-    asyncio.run(keeper._async_poll())
-    assert keeper.version == 2
+    asyncio.run(config_manager._async_poll())
+    assert config_manager.version == 2
 
 
 def test_body_that_differs_from_commit_is_rejected():
-    platform, keeper = make_keeper()
+    platform, config_manager = make_config_manager()
     commit(platform, 1)
-    keeper._on_peer_body(ConfigBody(ConfigVersion(3), hash_fleet(TEXT), "[fleet]\n"))
-    assert keeper.version == 0
+    config_manager._on_peer_body(
+        ConfigBody(ConfigVersion(3), hash_fleet(TEXT), "[fleet]\n")
+    )
+    assert config_manager.version == 0
 
 
 def test_missing_body_is_fetched_again():
-    platform, keeper = make_keeper()
+    platform, config_manager = make_config_manager()
     commit(platform, 1)
     bodies = dict(platform.objects.bodies)
     platform.objects.bodies.clear()
     with pytest.raises(PlatformUnavailable):
-        asyncio.run(keeper._async_poll())
+        asyncio.run(config_manager._async_poll())
     platform.objects.bodies.update(bodies)
-    asyncio.run(keeper._async_poll())
-    assert keeper.version == 1
+    asyncio.run(config_manager._async_poll())
+    assert config_manager.version == 1
 
 
 def test_version_from_peer_is_unconfirmed_during_table_outage():
-    platform, keeper = make_keeper()
+    platform, config_manager = make_config_manager()
     commit(platform, 1)
     platform.table.is_out = True
-    keeper._on_peer_body(ConfigBody(ConfigVersion(1), hash_fleet(TEXT), TEXT))
-    assert (keeper.version, keeper.is_confirmed) == (1, False)
+    config_manager._on_peer_body(ConfigBody(ConfigVersion(1), hash_fleet(TEXT), TEXT))
+    assert (config_manager.version, config_manager.is_confirmed) == (1, False)
     platform.table.is_out = False
-    asyncio.run(keeper._async_poll())
-    assert keeper.is_confirmed
+    asyncio.run(config_manager._async_poll())
+    assert config_manager.is_confirmed
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -40,7 +40,7 @@
         return self._virtual_selector.now_s
 
 
-def run_virtually(main: Coroutine[Any, Any, Any]) -> Any:
+def run_in_virtual_time(main: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
--- a/tests/watching/leaving_soak.py
+++ b/tests/watching/leaving_soak.py
@@ -18,7 +18,7 @@
 from chutelink.ids import EndpointId
 from chutelink.store import Row
 
-from ..virtual_time import run_virtually
+from ..virtual_time import run_in_virtual_time
 from .watching_fleet import SimulatedDaemon, SimulatedFleet, async_fleet
 
 MEAN_EVENT_INTERVAL_S = 0.6
@@ -238,7 +238,7 @@
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
         try:
-            run_virtually(async_soak(seed, options.seconds))
+            run_in_virtual_time(async_soak(seed, options.seconds))
         except AssertionError as error:
             failed += 1
             print(f"seed={seed} failed: {error}")
--- a/tests/watching/test_leaving.py
+++ b/tests/watching/test_leaving.py
@@ -18,7 +18,7 @@
 
 import asyncio
 
-from ..virtual_time import run_virtually
+from ..virtual_time import run_in_virtual_time
 from .leaving_soak import async_soak
 from .watching_fleet import async_fleet
 
@@ -41,7 +41,7 @@
                 fleet.store.remove("e1")
                 await fleet.async_advance(3.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_delayed_updates_count_with_their_real_age():
@@ -58,7 +58,7 @@
                 fleet.store.register(name, "draining")
                 await fleet.async_advance(2.9)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_full_read_after_lost_history_reaches_daemons_that_missed_updates():
@@ -76,7 +76,7 @@
             fleet.store.drop_history()
             await fleet.async_advance(5.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_live_endpoints_removed_in_outage_stay_usable_until_reregistered():
@@ -97,7 +97,7 @@
                 assert all("e1" in daemon.usable() for daemon in fleet.daemons)
                 assert not any("e2" in daemon.usable() for daemon in fleet.daemons)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_endpoint_that_left_is_not_reused_after_restore():
@@ -117,7 +117,7 @@
                 _leave(store, leave)
                 await fleet.async_advance(6.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def _leave(store, how):
@@ -145,7 +145,7 @@
             await asyncio.sleep(4.0)
             assert all("e8" in daemon.usable() for daemon in fleet.daemons)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_lapsed_endpoint_restored_from_backup_is_reused_if_alive():
@@ -167,13 +167,13 @@
             assert all("e1" in daemon.usable() for daemon in fleet.daemons)
             assert not any("e2" in daemon.usable() for daemon in fleet.daemons)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_healthy_daemons_avoid_leaving_endpoints_under_random_faults():
     """Longer runs: python -m tests.watching.leaving_soak --first 1 --seeds 1000."""
     for seed in SOAK_SEEDS:
-        run_virtually(async_soak(seed, SOAK_S))
+        run_in_virtual_time(async_soak(seed, SOAK_S))
 
 
 def test_only_first_rank_reads_store_without_faults():
@@ -185,7 +185,7 @@
             await fleet.async_advance(20.0)
             assert [daemon.connection.calls for daemon in fleet.daemons[1:]] == [1] * 6
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_disconnected_daemon_does_not_infer_store_outage():
@@ -215,7 +215,7 @@
                 daemon.is_isolated = False
                 await fleet.async_advance(4.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_disconnected_daemon_does_not_count_late_answer_as_store_recovery():
@@ -241,7 +241,7 @@
                 daemon.is_isolated = False
                 await fleet.async_advance(4.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_calls_hanging_for_a_second_are_not_a_store_outage():
@@ -265,7 +265,7 @@
                 store.is_down = False
                 await fleet.async_advance(4.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_daemon_rejected_by_store_recovers_missed_changes_from_peers():
@@ -292,4 +292,4 @@
                 fleet.store.register("e1", "draining")
                 await fleet.async_advance(6.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
--- a/tests/watching/test_probing.py
+++ b/tests/watching/test_probing.py
@@ -11,7 +11,7 @@
 from chutelink.watching.watch import StoreWatch
 
 from ..fakes import make_core
-from ..virtual_time import run_virtually
+from ..virtual_time import run_in_virtual_time
 from .test_watch import ScriptedTable
 from .watching_fleet import (
     CALL_TIMEOUT_S,
@@ -49,7 +49,7 @@
                 calls < 5 * OUTAGE_S + others * (2 + OUTAGE_S / STALENESS_BOUND_S) / 1.5
             )
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_changes_propagate_within_bound_after_store_recovers():
@@ -64,7 +64,7 @@
                 fleet.store.remove("e1")
                 await fleet.async_advance(3.0)
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_isolated_daemon_keeps_probing():
@@ -87,7 +87,7 @@
             await fleet.async_advance(STALENESS_BOUND_S)
             assert "e1" not in isolated.usable()
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_tables_share_probes_in_outage():
@@ -129,7 +129,7 @@
         assert all(watch.knowledge(name).age_s < STALENESS_BOUND_S for name in names)
         await watch.stop()
 
-    run_virtually(async_test())
+    run_in_virtual_time(async_test())
 
 
 def test_only_higher_ranks_back_off_up_to_bound():
--- a/tests/watching/test_restored_store.py
+++ b/tests/watching/test_restored_store.py
@@ -41,9 +41,9 @@
             lambda: rank,
             lambda update: send_update(self, update),
         )
-        self.watch.on_row = self._take_row
+        self.watch.on_row = self._apply_row
 
-    def _take_row(self, change) -> None:
+    def _apply_row(self, change) -> None:
         name = change.key.partition("/")[2]
         if change.value is None:
             self.rows.pop(name, None)
@@ -62,7 +62,7 @@
         loop = asyncio.get_running_loop()
         for daemon in self.daemons:
             if daemon is not sender:
-                take = daemon.watch.take_news
+                take = daemon.watch.apply_update
                 loop.call_later(LINK_DELAY_S, take, update, sender.core.daemon_id)
 
     def put(self, name, state) -> None:
@@ -107,7 +107,7 @@
 
 async def async_restore_older(fleet: Fleet, lost_rows: int) -> None:
     """Take a backup, write more rows, and restore the store from the backup."""
-    backup = fleet.store.copy()
+    backup = fleet.store.snapshot()
     for number in range(lost_rows):
         fleet.put(f"lost{number}", "ready")
     names = {"e0", *(f"lost{number}" for number in range(lost_rows))}
@@ -134,7 +134,7 @@
 
     async def async_test():
         async with async_fleet() as fleet:
-            backup = fleet.store.copy()
+            backup = fleet.store.snapshot()
             fleet.put("e1", "ready")
             fleet.put("e2", "ready")
             await fleet.async_until(lambda rows: len(rows) == 3)
--- a/tests/watching/test_tablecopy.py
+++ b/tests/watching/test_tablecopy.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from chutelink.entry.news import StoredRow, StoreNews
+from chutelink.entry.messages import StoredRow, StoreUpdate
 from chutelink.watching.tablecopy import TableCopy, UpdateStatus
 
 TABLE = "t"
@@ -23,7 +23,7 @@
 
 
 def table_update(after, version, *rows):
-    return StoreNews(TABLE, after, version, float(version), list(rows))
+    return StoreUpdate(TABLE, after, version, float(version), list(rows))
 
 
 def make_copy(version, *rows):
@@ -43,7 +43,7 @@
     copy = make_copy(5, StoredRow("a", 4, "x"))
     previous_answered_s = copy.answered_s
     assert copy.status_of(table_update(3, 4)) is UpdateStatus.OUTDATED
-    assert copy.apply(StoreNews(TABLE, 3, 4, 99.0)) == []
+    assert copy.apply(StoreUpdate(TABLE, 3, 4, 99.0)) == []
     assert copy.answered_s == previous_answered_s
 
 
@@ -96,7 +96,7 @@
 
 def test_full_table_of_later_era_replaces_lost_rows():
     copy = make_copy(5, StoredRow("a", 2, "x"), StoredRow("b", 5, "y"))
-    older = StoreNews(TABLE, 0, 3, 1.0, [StoredRow("a", 3, "z")], 1)
+    older = StoreUpdate(TABLE, 0, 3, 1.0, [StoredRow("a", 3, "z")], 1)
     assert copy.apply(older) == [StoredRow("a", 3, "z"), StoredRow("b", 3, None)]
     assert (copy.era, copy.version, copy.answered_s) == (1, 3, 1.0)
 
@@ -104,9 +104,9 @@
 def test_changes_of_another_era_are_not_applied():
     """Versions are reused in a new era: the same number denotes another state."""
     copy = make_copy(5, StoredRow("a", 5, "x"))
-    later = StoreNews(TABLE, 5, 6, 6.0, [StoredRow("b", 6, "y")], 1)
+    later = StoreUpdate(TABLE, 5, 6, 6.0, [StoredRow("b", 6, "y")], 1)
     assert copy.status_of(later) is UpdateStatus.GAP
-    copy.apply(StoreNews(TABLE, 0, 2, 7.0, [StoredRow("a", 2, "z")], 1))
+    copy.apply(StoreUpdate(TABLE, 0, 2, 7.0, [StoredRow("a", 2, "z")], 1))
     assert copy.status_of(table_update(0, 9)) is UpdateStatus.OUTDATED
 
 
--- a/tests/watching/test_watch.py
+++ b/tests/watching/test_watch.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from chutelink.entry.news import SnapshotRequest, StoredRow, StoreNews
+from chutelink.entry.messages import SnapshotRequest, StoredRow, StoreUpdate
 from chutelink.exceptions import HistoryLost, PlatformUnavailable
 from chutelink.ids import WriteId
-from chutelink.store import Row, RowPage, WatchedTable
-from chutelink.store.http import SECOND_TRY_SHARE
+from chutelink.store import Row, RowPage, WatchableTable
+from chutelink.store.http import READ_RETRY_FRACTION
 from chutelink.watching.timing import (
     FIRST_BACKUP_SHARE,
     MAX_RANK_STEPS,
@@ -35,7 +35,7 @@
 DEPLOYED_SETTINGS = Path(__file__).parents[2] / "deploy" / "entry.ini"
 
 
-class ScriptedTable(WatchedTable):
+class ScriptedTable(WatchableTable):
     """Answers as configured by the test."""
 
     def __init__(self) -> None:
@@ -103,7 +103,7 @@
     table.put("t/b", 2)
     table.now_s += 0.6
     reader.refresh()
-    other.watch.take_news(reader.sent[0], "d2")
+    other.watch.apply_update(reader.sent[0], "d2")
     assert other.rows == [("t/a", 1), ("t/b", 2)]
     assert other.watch._pause_s(other.state) > 0
     assert table.calls == 3
@@ -118,7 +118,7 @@
     last_rank_s = (
         FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
     ) * STALENESS_BOUND_S
-    second_try_s = SECOND_TRY_SHARE * limit_s
+    second_try_s = READ_RETRY_FRACTION * limit_s
     assert last_rank_s + second_try_s + SLOW_ANSWER_S <= STALENESS_BOUND_S
     assert (
         last_rank_s + MIN_RETRY_PAUSE_S * RETRY_JITTER + second_try_s + QUICK_ANSWER_S
@@ -132,7 +132,7 @@
     last_rank_s = (
         FIRST_BACKUP_SHARE + MAX_RANK_STEPS * RANK_DELAY_SHARE
     ) * staleness_bound_s
-    second_try_s = SECOND_TRY_SHARE * limit_s
+    second_try_s = READ_RETRY_FRACTION * limit_s
     slow_s = last_rank_s + second_try_s + SLOW_ANSWER_S
     failed_s = (
         last_rank_s + MIN_RETRY_PAUSE_S * RETRY_JITTER + second_try_s + QUICK_ANSWER_S
@@ -155,8 +155,8 @@
     other = DaemonUnderTest(table, rank=2)
     other.refresh()
     table.now_s += 5.0
-    other.watch.take_news(
-        StoreNews("t", 9, 10, 1005.0, [StoredRow("t/b", 10, 2)]), "d2"
+    other.watch.apply_update(
+        StoreUpdate("t", 9, 10, 1005.0, [StoredRow("t/b", 10, 2)]), "d2"
     )
     assert other.rows == [("t/a", 1)]
     assert other.watch._pause_s(other.state) <= 0
@@ -182,7 +182,7 @@
     rows = list(reader.rows)
     old = [StoredRow("t/a", 1, 1)]
     for after in (0, 1):
-        reader.watch.take_news(StoreNews("t", after, 2, 2000.0, old), "d2")
+        reader.watch.apply_update(StoreUpdate("t", after, 2, 2000.0, old), "d2")
     assert reader.rows == rows
     assert reader.state.copy.answered_s == table.now_s
 
@@ -197,7 +197,7 @@
     request = isolated.sent[0]
     assert request == SnapshotRequest("t", "d1")
     reader.watch.take_request(request)
-    isolated.watch.take_news(reader.sent[0], "d2")
+    isolated.watch.apply_update(reader.sent[0], "d2")
     assert isolated.rows == [("t/a", 1)]
     assert isolated.watch.has_read("t")
 
@@ -214,7 +214,7 @@
     seen.clear()
     table.put("t/a", None)
     reader.refresh()
-    other.watch.take_news(reader.sent[-1], "d2")
+    other.watch.apply_update(reader.sent[-1], "d2")
     for value, back_until_s in seen:
         assert value is None
         back_in_s = back_until_s - reader.core.clock()
@@ -245,7 +245,7 @@
     reader.refresh()
     assert reader.sent[0].rows == []
     table.now_s += 0.6
-    other.watch.take_news(reader.sent[0], "d2")
+    other.watch.apply_update(reader.sent[0], "d2")
     assert other.state.copy.version == 2
     assert other.watch._pause_s(other.state) > 0
     table.put("t/a", 20)
--- a/tests/watching/watching_fleet.py
+++ b/tests/watching/watching_fleet.py
@@ -13,16 +13,16 @@
 from contextlib import asynccontextmanager, contextmanager
 
 from chutelink.const import TABLE_ENDPOINTS
-from chutelink.entry.news import SnapshotRequest, StoreNews
+from chutelink.entry.messages import SnapshotRequest, StoreUpdate
 from chutelink.entry.state import EntryState
 from chutelink.exceptions import HistoryLost, PlatformUnavailable
 from chutelink.ids import DaemonId, EndpointId, ServiceName, StoreEra, WriteId
-from chutelink.peers.silence import PeerSilence
-from chutelink.platform.adapter import PreparedMachines
+from chutelink.peers.isolation import IsolationDetector
+from chutelink.platform.adapter import PreparedMachinesAdapter
 from chutelink.quarantine.service import Quarantine
-from chutelink.store import Row, RowPage, WatchedTable
-from chutelink.store.breaker import Breaker
-from chutelink.store.http import SECOND_TRY_SHARE
+from chutelink.store import Row, RowPage, WatchableTable
+from chutelink.store.breaker import CircuitBreaker
+from chutelink.store.http import READ_RETRY_FRACTION
 from chutelink.watching.watch import StoreWatch
 
 from ..fakes import make_core
@@ -139,13 +139,15 @@
         return RowPage(self.version, rows, now_s, StoreEra(self.era))
 
 
-class StoreConnection(WatchedTable):
+class StoreConnection(WatchableTable):
     """One daemon's connection to the store."""
 
     def __init__(self, store: FakeStore, rng: random.Random) -> None:
         self._store = store
         clock = asyncio.get_running_loop().time
-        self._breaker = Breaker("store", CALL_BUDGET_PER_S, clock, rng, MAX_PAUSE_S)
+        self._breaker = CircuitBreaker(
+            "store", CALL_BUDGET_PER_S, clock, rng, MAX_PAUSE_S
+        )
         self.is_disconnected = False
         self.is_rejected = False
         """The store rejects the calls of this daemon, and serves the others."""
@@ -203,7 +205,7 @@
             await self._async_retry(wait_s)
         elif self.is_connection_stale:
             self.is_connection_stale = False
-            await asyncio.sleep(wait_s + SECOND_TRY_SHARE * CALL_TIMEOUT_S)
+            await asyncio.sleep(wait_s + READ_RETRY_FRACTION * CALL_TIMEOUT_S)
         await asyncio.sleep(CALL_DURATION_S / 2)
 
     @property
@@ -212,7 +214,7 @@
 
     async def _async_retry(self, wait_s: float) -> None:
         """Retry a call on a new connection, and fail if it gets no answer either."""
-        retry_after_s = wait_s + SECOND_TRY_SHARE * CALL_TIMEOUT_S
+        retry_after_s = wait_s + READ_RETRY_FRACTION * CALL_TIMEOUT_S
         await asyncio.sleep(retry_after_s)
         if self._is_unreachable:
             await asyncio.sleep(CALL_TIMEOUT_S + wait_s - retry_after_s)
@@ -239,7 +241,7 @@
         self.connection = StoreConnection(
             fleet.store, random.Random(f"{seed}/{rank}/path")
         )
-        adapter = PreparedMachines()
+        adapter = PreparedMachinesAdapter()
         self.known = EntryState(self.core, adapter, Quarantine(self.core), ROW_LAPSE_S)
         self.watch = StoreWatch(
             self.core,
@@ -249,9 +251,11 @@
             self._send,
             MIN_LAPSING_OUTAGE_S,
         )
-        self.silence = PeerSilence(PEER_TIMEOUT_S)
-        self.watch.alone_until_s = lambda: self.silence.alone_until_s(self.core.clock())
-        self.watch.on_row = self.known.take_row
+        self.isolation = IsolationDetector(PEER_TIMEOUT_S)
+        self.watch.isolated_until_s = lambda: self.isolation.isolated_until_s(
+            self.core.clock()
+        )
+        self.watch.on_row = self.known.apply_row
         self.watch.compact = adapter.compact_row
         self.watch.reply = lambda peer, message: fleet.deliver(self, peer, message)
         self.update_delay_s: Callable[[DaemonId], float] = lambda peer: 0.0
@@ -277,21 +281,21 @@
             self._send(None)
             await asyncio.sleep(PEER_HEARTBEAT_S)
 
-    def _send(self, message: StoreNews | SnapshotRequest | None) -> None:
+    def _send(self, message: StoreUpdate | SnapshotRequest | None) -> None:
         for peer in self._fleet.daemons:
             if peer is not self:
                 self._fleet.deliver(self, peer.name, message)
 
     def take(
-        self, message: StoreNews | SnapshotRequest | None, source: DaemonId
+        self, message: StoreUpdate | SnapshotRequest | None, source: DaemonId
     ) -> None:
-        self.silence.note_heard(self.core.clock())
+        self.isolation.note_message(self.core.clock())
         if message is None:
             return
         if isinstance(message, SnapshotRequest):
             self.watch.take_request(message)
         else:
-            self.watch.take_news(message, source)
+            self.watch.apply_update(message, source)
 
     def usable(self) -> set[EndpointId]:
         """Return the endpoints that a request may be sent to."""
@@ -328,7 +332,7 @@
         self,
         sender: SimulatedDaemon,
         peer: DaemonId,
-        message: StoreNews | SnapshotRequest | None,
+        message: StoreUpdate | SnapshotRequest | None,
     ) -> None:
         """Schedule the delivery of a message; each link keeps the order of messages."""
         loop = asyncio.get_running_loop()
