--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Everything a newcomer needs: make demo, make test.
+# Development tasks. To start, run `make demo` or `make test`: both set up the environment first.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
--- a/demo/client.py
+++ b/demo/client.py
@@ -1,4 +1,4 @@
-"""A caller of the demo: waits for the parts, then sends requests."""
+"""Client of the demo: waits until the deployment is ready, and sends requests."""
 
 from __future__ import annotations
 
@@ -12,28 +12,30 @@
 DAEMONS = [f"http://{NET}.{10 + n}:7100" for n in (1, 2, 3)]
 DAEMONS += [f"http://{NET}.{10 + n}:7200" for n in (1, 2)]
 HEADERS = {"Authorization": "Bearer inspectors-key"}
-DEADLINE_S = 60.0
-FAILURES = (aiohttp.ClientError, TimeoutError, ConnectionError)
+WAIT_TIMEOUT_S = 60.0
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, ConnectionError)
 
 
-async def async_wait(session: aiohttp.ClientSession, url: str, statuses: set) -> None:
-    """Wait until a URL answers with one of the statuses."""
-    async with asyncio.timeout(DEADLINE_S):
+async def async_wait_for_status(
+    session: aiohttp.ClientSession, url: str, statuses: set
+) -> None:
+    """Wait until a GET request to a URL returns one of the statuses."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             try:
                 async with session.get(url, headers=HEADERS) as response:
                     if response.status in statuses:
                         return
-            except FAILURES:
+            except CONNECTION_ERRORS:
                 pass
             await asyncio.sleep(0.1)
 
 
-async def async_wait_model(session: aiohttp.ClientSession, model: str) -> None:
-    """Wait until a model answers."""
+async def async_wait_for_model(session: aiohttp.ClientSession, model: str) -> None:
+    """Wait until a completion request to a model succeeds."""
     body = {"model": model, "messages": [{"role": "user", "content": "ready?"}]}
     url = f"{DAEMONS[0]}/v1/chat/completions"
-    async with asyncio.timeout(DEADLINE_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             async with session.post(url, json=body, headers=HEADERS) as response:
                 if response.status == 200:
@@ -41,8 +43,8 @@
             await asyncio.sleep(0.2)
 
 
-async def async_requests(session: aiohttp.ClientSession) -> None:
-    """Ask for an address, then send a completion both ways and a lookup."""
+async def async_send_requests(session: aiohttp.ClientSession) -> None:
+    """Get a gateway's address; send it a completion, a streamed one and a lookup."""
     async with session.get(
         f"{DAEMONS[0]}/v1/addresses", params={"model": "load-notes"}, headers=HEADERS
     ) as response:
@@ -57,7 +59,7 @@
     url = f"{base}/v1/chat/completions"
     async with session.post(url, json=body, headers=HEADERS) as response:
         answer = await response.json()
-        print("whole:", answer["choices"][0]["message"]["content"])
+        print("completion:", answer["choices"][0]["message"]["content"])
     async with session.post(url, json={**body, "stream": True}, headers=HEADERS) as r:
         async for line in r.content:
             if line.strip():
@@ -68,17 +70,17 @@
 
 
 async def async_main(command: str, argument: str) -> None:
-    """Run one command."""
+    """Run a command; any other than the wait commands sends the requests."""
     async with aiohttp.ClientSession() as session:
         if command == "wait-platform":
-            await async_wait(session, f"{PLATFORM}/standin/counts", {200})
+            await async_wait_for_status(session, f"{PLATFORM}/standin/counts", {200})
         elif command == "wait-daemons":
             for url in DAEMONS:
-                await async_wait(session, f"{url}/healthz", {200})
+                await async_wait_for_status(session, f"{url}/healthz", {200})
         elif command == "wait-model":
-            await async_wait_model(session, argument)
+            await async_wait_for_model(session, argument)
         else:
-            await async_requests(session)
+            await async_send_requests(session)
 
 
 if __name__ == "__main__":
--- a/demo/demo.sh
+++ b/demo/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole path on loopback: platform, 3 gateways, 2 directors, 4 engines in
-# 2 failure domains and 1 plain service, all of the fleet in examples/opa.ini.
+# Runs a deployment on loopback: a stand-in platform, 3 gateways, 2 directors, and
+# stand-ins for 5 endpoints of examples/opa.ini: 4 engines in 2 failure domains and
+# 1 plain service.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BIN=.venv/bin
@@ -11,7 +12,7 @@
 DAEMON_PIDS=()
 STANDIN_PIDS=()
 
-daemon_settings() { # id vm-number domain port
+daemon_settings() { # <id> <vm-number> <failure-domain> <port>
   cat <<EOF
 [daemon]
 id = $1
@@ -45,7 +46,8 @@
   for n in 1 2; do
     daemon_settings "director-$n" "$n" "${domains[$((n - 1))]}" 7200 \
       > "$DIR/director-$n.ini"
-    # The stand-in weight store is set to 20 loads a second to keep this short.
+    # To keep the demo short, both the stand-in weight store (--loads-per-s) and the
+    # directors allow 20 loads per second; the directors' default is 2.
     printf '\n[director]\nloads_per_s = 20\nloads_at_once = 40\n' \
       >> "$DIR/director-$n.ini"
   done
@@ -53,7 +55,7 @@
     > "$DIR/operator.ini"
 }
 
-start() { # log-name command...
+start() { # <log-name> <command>...
   local name=$1
   shift
   nohup "$@" > "$DIR/$name.log" 2>&1 &
@@ -104,7 +106,7 @@
 
 down() {
   [ -f "$DIR/pids" ] || { echo "not running"; return 0; }
-  # In the reverse order, so that stand-ins outlive the daemons that drain.
+  # Stop in reverse order of start, so that the stand-ins outlive the draining daemons.
   for pid in $(tac "$DIR/pids"); do
     kill -TERM "$pid" 2> /dev/null || continue
     for _ in $(seq 200); do
