--- a/chutelink/cli/inspect.py
+++ b/chutelink/cli/inspect.py
@@ -34,7 +34,7 @@
     state = StateTable()
     page = await platform.table.async_read(PREFIX_STATE)
     for row in page.rows:
-        state.take(row)
+        state.put_row(row)
     return state
 
 
--- a/chutelink/configuration.py
+++ b/chutelink/configuration.py
@@ -192,7 +192,8 @@
             return
         self._core.metrics.violations.inc({"step": "config.version"})
         raise InvariantViolated(
-            f"version {version} after {self.version}", step="config.version"
+            f"version {version} is not newer than version {self.version} in force",
+            step="config.version",
         )
 
     def _make_body(self) -> ConfigBody | None:
--- a/chutelink/core.py
+++ b/chutelink/core.py
@@ -28,7 +28,7 @@
 
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
 MAX_CONNECTIONS_PER_HOST = 0
-"""0 disables the limit of aiohttp."""
+"""0 disables aiohttp's limit."""
 CLOSE_POLL_S = 0.05
 
 
@@ -117,7 +117,7 @@
 
     @abstractmethod
     async def async_drain(self) -> None:
-        """Drain: return once no request is in flight."""
+        """Complete the work in progress before the daemon stops."""
 
     @abstractmethod
     def is_ready(self) -> bool:
--- a/chutelink/director/health.py
+++ b/chutelink/director/health.py
@@ -97,9 +97,9 @@
             averages[model] = previous + DEMAND_SMOOTHING * (
                 observed.get(model, 0.0) - previous
             )
-        known = self._state.health.get(domain, HealthRow()).demand
+        published = self._state.health.get(domain, HealthRow()).demand
         demand = {
-            model: _round_demand(value, known.get(model, 0))
+            model: _round_demand(value, published.get(model, 0))
             for model, value in averages.items()
         }
         return HealthRow(tuple(usable), {m: d for m, d in demand.items() if d})
@@ -116,12 +116,12 @@
                 observed[model.name] = observed.get(model.name, 0.0) + count
 
 
-def _round_demand(value: float, known: int) -> int:
+def _round_demand(value: float, published: int) -> int:
     """Round demand to a multiple of ``DEMAND_STEP``, with hysteresis.
 
-    A nonzero known value is kept while demand differs from it by less than one
+    A nonzero published value is kept while demand differs from it by less than one
     step and is at least 0.5.
     """
-    if known and abs(value - known) < DEMAND_STEP:
-        return known if value >= 0.5 else 0
+    if published and abs(value - published) < DEMAND_STEP:
+        return published if value >= 0.5 else 0
     return round(value / DEMAND_STEP) * DEMAND_STEP
--- a/chutelink/director/placer.py
+++ b/chutelink/director/placer.py
@@ -96,11 +96,11 @@
         self._health = HealthPublisher(core, table, endpoints, leases, state, waiting)
         self._last_step_s: dict[EndpointName, float] = {}
         self._held_since: dict[FailureDomainName, float] = {}
-        self._read_s = float("-inf")
+        self._last_read_s = float("-inf")
         self.plan = Plan({}, [])
         self._plan_basis: tuple[int, frozenset[EndpointName]] | None = None
         self._planned_changes = -1
-        self._plan_s = float("-inf")
+        self._next_plan_s = float("-inf")
         self.quarantined: set[EndpointName] = set()
 
     @Service.task
@@ -159,14 +159,14 @@
 
     async def _async_read(self) -> None:
         now_s = self._core.clock()
-        if now_s - self._read_s < READ_INTERVAL_S and self.state_table.is_read:
+        if now_s - self._last_read_s < READ_INTERVAL_S and self.state_table.is_read:
             return
         page = await self._table.async_read(PREFIX_STATE, self.state_table.version)
         for row in page.rows:
-            self.state_table.take(row)
+            self.state_table.put_row(row)
         self.state_table.version = max(self.state_table.version, page.version)
         self.state_table.is_read = True
-        self._read_s = now_s
+        self._last_read_s = now_s
 
     def _update_plan(self, current: Configuration) -> None:
         """Recompute the plan if its inputs have changed.
@@ -179,7 +179,8 @@
         basis = (current.version, self.state_table.usable())
         now_s = self._core.clock()
         is_due = (
-            self.state_table.changes != self._planned_changes and now_s >= self._plan_s
+            self.state_table.changes != self._planned_changes
+            and now_s >= self._next_plan_s
         )
         if basis == self._plan_basis and not is_due:
             return
@@ -195,7 +196,7 @@
             )
         )
         elapsed_s = self._core.clock() - now_s
-        self._plan_s = now_s + max(MIN_PLAN_INTERVAL_S, elapsed_s / PLAN_SHARE)
+        self._next_plan_s = now_s + max(MIN_PLAN_INTERVAL_S, elapsed_s / PLAN_SHARE)
         self._core.metrics.unplaced.set({}, len(self.plan.unplaced))
 
     def _next_step(
--- a/chutelink/endpoints/messages.py
+++ b/chutelink/endpoints/messages.py
@@ -1,4 +1,4 @@
-"""Control messages between the system and an engine."""
+"""Paths, headers and order messages of the protocol between daemons and engines."""
 
 from __future__ import annotations
 
--- a/chutelink/fleet/parse.py
+++ b/chutelink/fleet/parse.py
@@ -102,7 +102,7 @@
     kind = _SECTION_KINDS.get(kind_name)
     if kind is None:
         known = ", ".join(["fleet", *(f"{k} NAME" for k in _SECTION_KINDS)])
-        message = f"unknown section; known: {known}"
+        message = f"unknown section; known sections: {known}"
         return [Problem(file, section.line, section.name, "", message)]
     is_valid_name = 0 < len(name) <= _MAX_NAME_LENGTH and set(name) <= _NAME_CHARACTERS
     if not is_valid_name:
@@ -180,7 +180,7 @@
             collector.add(section, "endpoints", f"[endpoint {name}] is not declared")
         elif endpoint.kind is not EndpointKind.SERVICE:
             collector.add(
-                section, "endpoints", f"[endpoint {name}] is not kind = service"
+                section, "endpoints", f"[endpoint {name}] does not have kind = service"
             )
 
 
--- a/chutelink/gateway/refusals.py
+++ b/chutelink/gateway/refusals.py
@@ -12,7 +12,7 @@
 
 
 class Outcome(Enum):
-    """Whether a request that got no response may have been run."""
+    """Whether a request without an endpoint's response may have been run."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -119,7 +119,7 @@
 
 
 def unavailable(title: str, retry_after_s: float) -> Refusal:
-    """Return the refusal for a request that was not run for lack of resources."""
+    """Return the refusal for a request that can't be run now."""
     return Refusal(503, title, retry_after_s=retry_after_s)
 
 
--- a/chutelink/log.py
+++ b/chutelink/log.py
@@ -15,7 +15,7 @@
 RECORD_LIMIT = 2000
 """Limit for events of which every occurrence matters, such as failed requests."""
 MAX_BUFFERED_BYTES = 64 * 1024
-"""Buffer for a slow reader; when it is full, further lines are only counted."""
+"""Size of the buffer for a slow reader; if it is full, lines are only counted."""
 _MAX_TRACKED_EVENTS = 512
 
 
@@ -67,7 +67,10 @@
         self._emit(logbook.ERROR, event, fields)
 
     def record(self, event: str, **fields: object) -> None:
-        """Log an event of which every occurrence matters, up to ``RECORD_LIMIT``."""
+        """Log an event of which every occurrence matters, up to ``RECORD_LIMIT``.
+
+        The level is warning if there is an ``error`` field, otherwise info.
+        """
         level = logbook.WARNING if "error" in fields else logbook.INFO
         self._emit(level, event, fields, RECORD_LIMIT)
 
--- a/chutelink/platform/store.py
+++ b/chutelink/platform/store.py
@@ -33,7 +33,7 @@
 
 ``op`` holds the operators' configuration, ``servers`` the endpoint registrations.
 """
-PRODUCT_TABLES = {wire: name for name, wire in WIRE_TABLES.items()}
+TABLES_BY_WIRE_NAME = {wire: name for name, wire in WIRE_TABLES.items()}
 LAST_SUFFIX = "\U0010ffff"
 """Sorts after every suffix of a key, as the upper end of a prefix range."""
 
@@ -88,13 +88,13 @@
     External writers may store anything. If this raised an error, a single bad row would
     make every read of its table fail at all daemons for as long as it exists.
     """
-    table = PRODUCT_TABLES.get(row.table, row.table)
+    table = TABLES_BY_WIRE_NAME.get(row.table, row.table)
     key = f"{table}/{row.key}"
     if row.tombstone:
         return Row(key, row.ver, WriteId(""), None)
     try:
         data = base64.b64decode(row.value, validate=True)
-        if row.table in PRODUCT_TABLES:
+        if row.table in TABLES_BY_WIRE_NAME:
             return Row(key, row.ver, WriteId(""), msgspec.json.decode(data))
         own = msgspec.json.decode(data, type=_OwnValue)
     except (msgspec.MsgspecError, binascii.Error, ValueError):
@@ -106,8 +106,8 @@
 class StoreTable(WatchableTable):
     """Rows ``TABLE/KEY`` of the store's tables, all in the empty partition."""
 
-    def __init__(self, caller: PlatformServiceClient) -> None:
-        self._caller = caller
+    def __init__(self, client: PlatformServiceClient) -> None:
+        self._client = client
 
     async def async_read(self, prefix: str, after_version: int = 0) -> RowPage:
         """Return the rows of a prefix that changed after a version, over all pages."""
@@ -118,7 +118,7 @@
         rows: list[_WireRow] = []
         first: RowPage | None = None
         while True:
-            response = await self._caller.async_call(
+            response = await self._client.async_call(
                 "GET", "/api/rows-get", step="table.read", params=params, is_read=True
             )
             page, wire = self._decode_page(response, "table.read")
@@ -129,7 +129,7 @@
                 raise PlatformUnavailable(
                     "store was restored between two pages",
                     step="table.read",
-                    peer=self._caller.peer,
+                    peer=self._client.peer,
                 )
             rows += wire.rows
             if not wire.truncated or not wire.rows:
@@ -149,7 +149,7 @@
             "after": str(after_version),
             "wait_ms": str(round(wait_s * MS_PER_S)),
         }
-        response = await self._caller.async_call(
+        response = await self._client.async_call(
             "GET",
             "/api/rows-feed",
             step="table.watch",
@@ -162,7 +162,7 @@
             raise HistoryLost(
                 "store no longer keeps the changes",
                 step="table.watch",
-                peer=self._caller.peer,
+                peer=self._client.peer,
             )
         page, wire = self._decode_page(response, "table.watch")
         rows = [_decode_row(row) for row in wire.rows]
@@ -171,7 +171,7 @@
     async def async_transact(self, transaction: Transaction) -> Commit:
         """Commit a transaction."""
         step = "table.transact"
-        response = await self._caller.async_call(
+        response = await self._client.async_call(
             "POST",
             "/api/rows-tx",
             step=step,
@@ -186,7 +186,7 @@
             return Commit(version, _decode_era(response))
         except (msgspec.MsgspecError, ValueError) as error:
             raise WriteOutcomeUnknown(
-                str(error), step=step, peer=self._caller.peer
+                str(error), step=step, peer=self._client.peer
             ) from error
 
     def _decode_page(
@@ -195,13 +195,13 @@
         """Return the page's metadata without rows, and the page in wire format."""
         if response.status != HTTP_OK:
             message = f"status {response.status}"
-            raise PlatformUnavailable(message, step=step, peer=self._caller.peer)
+            raise PlatformUnavailable(message, step=step, peer=self._client.peer)
         try:
             wire = msgspec.json.decode(response.body, type=_WirePage)
             era = _decode_era(response)
         except (msgspec.MsgspecError, ValueError) as error:
             raise PlatformUnavailable(
-                str(error), step=step, peer=self._caller.peer
+                str(error), step=step, peer=self._client.peer
             ) from error
         return RowPage(wire.ver, [], wire.now_ms / MS_PER_S, era), wire
 
--- a/chutelink/store/http.py
+++ b/chutelink/store/http.py
@@ -236,14 +236,14 @@
 class HttpTableService(TableService):
     """Table service over HTTP."""
 
-    def __init__(self, caller: PlatformServiceClient) -> None:
-        self._caller = caller
+    def __init__(self, client: PlatformServiceClient) -> None:
+        self._client = client
         self._page_decoder = msgspec.json.Decoder(RowPage)
 
     async def async_read(self, prefix: str, after_version: int = 0) -> RowPage:
         """Return the rows of a prefix that changed after a version."""
         step = "table.read"
-        response = await self._caller.async_call(
+        response = await self._client.async_call(
             "GET",
             "/v1/table/rows",
             step=step,
@@ -253,13 +253,13 @@
             return self._page_decoder.decode(response.body)
         except msgspec.MsgspecError as error:
             raise PlatformUnavailable(
-                str(error), step=step, peer=self._caller.peer
+                str(error), step=step, peer=self._client.peer
             ) from error
 
     async def async_transact(self, transaction: Transaction) -> Commit:
         """Commit a transaction."""
         step = "table.transact"
-        response = await self._caller.async_call(
+        response = await self._client.async_call(
             "POST",
             "/v1/table/transactions",
             step=step,
@@ -270,7 +270,7 @@
             result = msgspec.json.decode(response.body, type=_TransactionResponse)
         except msgspec.MsgspecError as error:
             raise WriteOutcomeUnknown(
-                str(error), step=step, peer=self._caller.peer
+                str(error), step=step, peer=self._client.peer
             ) from error
         if response.status == HTTP_CONFLICT:
             raise TransactionConflict(result.conflict, step=step, peer=result.conflict)
@@ -280,18 +280,18 @@
 class HttpObjectStore(ObjectStore):
     """Object store over HTTP."""
 
-    def __init__(self, caller: PlatformServiceClient) -> None:
-        self._caller = caller
+    def __init__(self, client: PlatformServiceClient) -> None:
+        self._client = client
 
     async def async_put(self, name: str, body: bytes) -> None:
         """Store an object under its hash."""
-        await self._caller.async_call(
+        await self._client.async_call(
             "PUT", f"/v1/objects/{name}", step="objects.put", body=body
         )
 
     async def async_get(self, name: str) -> bytes | None:
         """Return an object's body, or None if it does not exist."""
-        response = await self._caller.async_call(
+        response = await self._client.async_call(
             "GET", f"/v1/objects/{name}", step="objects.get"
         )
         return None if response.status == HTTP_NOT_FOUND else response.body
@@ -300,17 +300,17 @@
 class HttpVmList(VmList):
     """VM list over HTTP."""
 
-    def __init__(self, caller: PlatformServiceClient) -> None:
-        self._caller = caller
+    def __init__(self, client: PlatformServiceClient) -> None:
+        self._client = client
 
     async def async_list(self) -> list[Vm]:
         """Return the current content of the list."""
-        response = await self._caller.async_call("GET", "/v1/vms", step="vms.list")
+        response = await self._client.async_call("GET", "/v1/vms", step="vms.list")
         try:
             return msgspec.json.decode(response.body, type=list[Vm])
         except msgspec.MsgspecError as error:
             raise PlatformUnavailable(
-                str(error), step="vms.list", peer=self._caller.peer
+                str(error), step="vms.list", peer=self._client.peer
             ) from error
 
 
--- a/chutelink/systems/hashing.py
+++ b/chutelink/systems/hashing.py
@@ -7,13 +7,13 @@
 
 
 def rendezvous_score(key: str, candidate: str) -> int:
-    """Return the weight of a candidate for a key as a 64-bit integer."""
+    """Return the score of a candidate for a key as a 64-bit integer."""
     digest = hashlib.blake2b(f"{key}\0{candidate}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def rendezvous_order(key: str, candidates: Iterable[str]) -> list[str]:
-    """Return the candidates for a key in descending order of their weight.
+    """Return the candidates for a key in descending order of score.
 
     Adding or removing a candidate reassigns only the keys of that candidate.
     """
--- a/chutelink/systems/ledger.py
+++ b/chutelink/systems/ledger.py
@@ -41,7 +41,7 @@
 def choose_accelerators(
     free_mb: list[int], count: int, memory_mb: int
 ) -> tuple[int, ...] | None:
-    """Return the accelerators with the least free memory that suffices, or None.
+    """Return the fitting accelerators with the least free memory, or None.
 
     Best fit reduces fragmentation, so that large models still find space.
     """
--- a/chutelink/systems/load_limiter.py
+++ b/chutelink/systems/load_limiter.py
@@ -1,4 +1,4 @@
-"""Limits how fast a director starts loads from the weight store."""
+"""Limits the loads that a director starts from the weight store."""
 
 from __future__ import annotations
 
--- a/chutelink/systems/packing.py
+++ b/chutelink/systems/packing.py
@@ -14,6 +14,7 @@
     from ..tables.ledger import LedgerRow
 
 Assignment = dict[str, set[str]]
+"""Names of the models to hold, by endpoint."""
 
 
 class PackResult(msgspec.Struct):
--- a/chutelink/systems/placement.py
+++ b/chutelink/systems/placement.py
@@ -127,7 +127,7 @@
             for model in self._declared_models(row):
                 self.assignment[name].add(model)
                 self._holders[model].add(name)
-                self._take_missing_adapters(name, row, self.fleet.models[model])
+                self._reserve_missing_adapters(name, row, self.fleet.models[model])
 
     def _declared_models(self, row: LedgerRow) -> set[str]:
         models = set()
@@ -138,7 +138,7 @@
                 models.add(model.name)
         return models
 
-    def _take_missing_adapters(
+    def _reserve_missing_adapters(
         self, endpoint: str, row: LedgerRow, model: ModelSpec
     ) -> None:
         claim = row.claim_of(model.artifact)
--- a/chutelink/systems/reconcile.py
+++ b/chutelink/systems/reconcile.py
@@ -79,7 +79,7 @@
 
 
 def next_action(inputs: ReconcileInput) -> Action | None:
-    """Return the next action at an endpoint, or None if no action is possible."""
+    """Return the next action at an endpoint, or None if none is needed or possible."""
     endpoint = inputs.row.endpoint
     if inputs.report.boot_id != inputs.row.boot_id:
         return Action(ActionKind.FENCE, endpoint)
--- a/chutelink/tables/__init__.py
+++ b/chutelink/tables/__init__.py
@@ -1,1 +1,1 @@
-"""In-memory tables of entities, which the systems process on each tick."""
+"""Types of table rows, and in-memory tables of the state that a daemon knows."""
--- a/chutelink/tables/callers.py
+++ b/chutelink/tables/callers.py
@@ -9,7 +9,7 @@
 
 
 class TokenBucket(msgspec.Struct):
-    """Token bucket that limits a caller's requests at this gateway."""
+    """Token bucket that limits a rate, such as that of a caller's requests."""
 
     rate_per_s: float
     burst: float
@@ -39,8 +39,8 @@
     """Token buckets by caller.
 
     A gateway may use the part of a caller's rate that the others do not use, and
-    always its even share. Usage that is too small to be published may exceed the
-    rate by up to half.
+    always its even share. Usage that is too small to be published may bring the
+    total of all gateways to half above the rate.
     """
 
     def __init__(self) -> None:
@@ -83,7 +83,7 @@
             bucket.rate_per_s = max(self._even_share_per_s[name], available_per_s)
 
     def collect_usage(self, period_s: float) -> dict[str, float]:
-        """Return and reset the requests per second of the callers with most usage."""
+        """Return the request rates of the busiest callers, and reset the counts."""
         rates = {
             name: count / period_s for name, count in self._admitted_counts.items()
         }
--- a/chutelink/tables/endpoints.py
+++ b/chutelink/tables/endpoints.py
@@ -1,4 +1,7 @@
-"""Soft state of each endpoint in this process, rebuilt within seconds."""
+"""State of the endpoints as known to this process.
+
+It is not stored; a new process rebuilds it from reports within seconds.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +68,7 @@
 
 
 class Endpoint:
-    """A row of the table; each field is changed only by the system that owns it."""
+    """An endpoint's state; each field is changed only by the component that owns it."""
 
     __slots__ = (
         "cached_prefixes",
@@ -108,7 +111,10 @@
         return self.state is EndpointState.LIVE
 
     def estimated_load(self) -> int:
-        """Return the number of sequences: last report, adjusted by own dispatches."""
+        """Return the estimated number of sequences at the endpoint.
+
+        It is that of the last report, adjusted for this process's own requests.
+        """
         if self.report is None:
             return self.inflight
         others = self.report.running + self.report.waiting - self.inflight_at_report
--- a/chutelink/tables/members.py
+++ b/chutelink/tables/members.py
@@ -168,7 +168,7 @@
         self.changes += 1
 
     def _refute(self, update: Member) -> Member | None:
-        """Increment the own incarnation if an update about this daemon is wrong."""
+        """Raise the own incarnation above that of a wrong update about this daemon."""
         is_same = update.boot_id == self.own.boot_id and update.state is self.own.state
         if is_same or update.incarnation < self.own.incarnation:
             return None
--- a/chutelink/tables/queues.py
+++ b/chutelink/tables/queues.py
@@ -9,7 +9,7 @@
 
 
 class QueueTable:
-    """The latest message of each gateway; messages past ``MAX_AGE_S`` are ignored."""
+    """The latest message of each gateway, ignored once older than ``MAX_AGE_S``."""
 
     def __init__(self) -> None:
         self._rows: dict[DaemonId, tuple[float, QueueUpdate]] = {}
--- a/chutelink/tables/state.py
+++ b/chutelink/tables/state.py
@@ -1,4 +1,4 @@
-"""Shared placement state, as last read by this director."""
+"""Shared placement state, as last read by this process."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.version = 0
         self.is_read = False
 
-    def take(self, row: Row) -> None:
+    def put_row(self, row: Row) -> None:
         """Store a row that was read."""
         if row.key.startswith(PREFIX_LEDGER):
             value = decode_value(row, LedgerRow)
--- a/tests/director/test_ledger_machine.py
+++ b/tests/director/test_ledger_machine.py
@@ -210,7 +210,7 @@
         try:
             page = await self.table.async_read(PREFIX_STATE)
             for row in page.rows:
-                state.take(row)
+                state.put_row(row)
             if "e" not in state.ledger:
                 await executor.async_create_row(self.spec)
                 return
--- a/tests/director/test_orders.py
+++ b/tests/director/test_orders.py
@@ -66,7 +66,7 @@
 
     state = StateTable()
     for row in table.table.read(PREFIX_STATE, 0).rows:
-        state.take(row)
+        state.put_row(row)
     leases = SimpleNamespace(check_held=lambda name, step: table.table.version)
     client = SimpleNamespace(async_order=async_order)
     return OrderExecutor(make_core(), table, client, leases, state, 1.0)
--- a/tests/store/test_http.py
+++ b/tests/store/test_http.py
@@ -53,7 +53,7 @@
 
 
 @asynccontextmanager
-async def async_caller(server):
+async def async_client(server):
     listener = await asyncio.start_server(server.async_serve, "127.0.0.1", 0)
     port = listener.sockets[0].getsockname()[1]
     url = f"http://127.0.0.1:{port}"
@@ -67,8 +67,8 @@
 
 def run(server, test):
     async def async_run():
-        async with async_caller(server) as caller:
-            await test(caller)
+        async with async_client(server) as client:
+            await test(client)
 
     asyncio.run(async_run())
 
@@ -76,13 +76,13 @@
 def test_read_on_unresponsive_connection_is_retried_on_new_one():
     server = UnresponsiveServer(unresponsive_connections=1)
 
-    async def async_test(caller):
-        await caller.async_call("GET", "/x", step="x", is_read=True)
-        response = await caller.async_call("GET", "/x", step="x", is_read=True)
+    async def async_test(client):
+        await client.async_call("GET", "/x", step="x", is_read=True)
+        response = await client.async_call("GET", "/x", step="x", is_read=True)
         assert response.body == b"ok"
         assert (server.connections, server.calls) == (2, 3)
-        await caller.async_call("GET", "/x", step="x", is_read=True)
-        assert caller.breaker.calls == 4
+        await client.async_call("GET", "/x", step="x", is_read=True)
+        assert client.breaker.calls == 4
 
     run(server, async_test)
 
@@ -90,10 +90,10 @@
 def test_write_is_not_retried():
     server = UnresponsiveServer(unresponsive_connections=1)
 
-    async def async_test(caller):
-        await caller.async_call("POST", "/x", step="x")
+    async def async_test(client):
+        await client.async_call("POST", "/x", step="x")
         with pytest.raises(PlatformUnavailable):
-            await caller.async_call("POST", "/x", step="x")
+            await client.async_call("POST", "/x", step="x")
         assert server.calls == 2
 
     run(server, async_test)
@@ -104,9 +104,9 @@
         async def async_serve(self, reader, writer):
             await asyncio.Event().wait()
 
-    async def async_test(caller):
+    async def async_test(client):
         with pytest.raises(PlatformUnavailable):
-            await caller.async_call("GET", "/x", step="x", is_read=True)
+            await client.async_call("GET", "/x", step="x", is_read=True)
 
     run(NeverResponds(unresponsive_connections=9), async_test)
 
@@ -120,15 +120,15 @@
     """
     server = UnresponsiveServer(unresponsive_connections=3)
 
-    async def async_test(caller):
+    async def async_test(client):
         reads = [
-            caller.async_call("GET", "/x", step="x", is_read=True) for _ in range(3)
+            client.async_call("GET", "/x", step="x", is_read=True) for _ in range(3)
         ]
         await asyncio.gather(*reads)
         assert server.connections == 3
-        await caller.async_call("GET", "/x", step="x", is_read=True)
-        await caller.async_call("POST", "/x", step="x")
-        await caller.async_call("GET", "/x", step="x", is_read=True)
+        await client.async_call("GET", "/x", step="x", is_read=True)
+        await client.async_call("POST", "/x", step="x")
+        await client.async_call("GET", "/x", step="x", is_read=True)
         assert len(server.retries) == 1
         assert server.connections == 4
 
@@ -150,8 +150,8 @@
 
     server = BlockedLoopServer(unresponsive_connections=0)
 
-    async def async_test(caller):
-        response = await caller.async_call("GET", "/x", step="x", is_read=True)
+    async def async_test(client):
+        response = await client.async_call("GET", "/x", step="x", is_read=True)
         assert response.body == b"ok"
         assert (server.calls, server.retries) == (1, [])
 
@@ -175,8 +175,8 @@
                 await asyncio.sleep(2 * TIMEOUT_S)
             writer.write(RESPONSE)
 
-    async def async_test(caller):
-        response = await caller.async_call(
+    async def async_test(client):
+        response = await client.async_call(
             "GET",
             "/x",
             step="x",
@@ -200,15 +200,15 @@
 
     server = NeverResponds(unresponsive_connections=9)
 
-    async def async_test(caller):
+    async def async_test(client):
         for _ in range(FAILURES_TO_OPEN):
             with pytest.raises(PlatformUnavailable):
-                await caller.async_call("GET", "/x", step="x", is_read=True)
+                await client.async_call("GET", "/x", step="x", is_read=True)
         assert server.calls == 2 * FAILURES_TO_OPEN
-        while caller.breaker.is_open:
+        while client.breaker.is_open:
             await asyncio.sleep(0.02)
         with pytest.raises(PlatformUnavailable):
-            await caller.async_call("GET", "/x", step="x", is_read=True)
+            await client.async_call("GET", "/x", step="x", is_read=True)
         assert server.calls == 2 * FAILURES_TO_OPEN + 1
 
     run(server, async_test)
