--- a/chutelink/cli/held.py
+++ b/chutelink/cli/held.py
@@ -1,4 +1,4 @@
-"""List the requests that a fleet quarantines, and release one."""
+"""The command held: lists quarantined requests, or releases one."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
     daemon: str,
     free: str | None,
 ) -> Result:
-    """Query one daemon; each knows the quarantined requests of all daemons.
+    """List or release quarantined requests through one daemon.
+
+    Each daemon knows the quarantined requests of all daemons.
 
     Parameters
     ----------
--- a/chutelink/cli/inspect.py
+++ b/chutelink/cli/inspect.py
@@ -26,7 +26,7 @@
 from .output import ExitCode, Result, format_table, make_failure
 
 LOADS_PER_S = 2.0
-"""Rate that a plan's duration is estimated with."""
+"""Load rate from which the minimum duration of a plan is estimated."""
 
 
 async def async_read_state(platform: Platform) -> StateTable:
--- a/chutelink/configuration.py
+++ b/chutelink/configuration.py
@@ -192,7 +192,7 @@
             return
         self._core.metrics.violations.inc({"step": "config.version"})
         raise InvariantViolated(
-            f"version {version} is not newer than version {self.version} in force",
+            f"version {version} is not newer than {self.version}",
             step="config.version",
         )
 
--- a/chutelink/platform/configuration.py
+++ b/chutelink/platform/configuration.py
@@ -30,10 +30,10 @@
 MIN_PATIENCE_S = 2.0
 PATIENCE_OBJECTIVES = 4.0
 PATIENCE_PAUSES = 8.0
-"""Callers abandon a stream with no event for the longest of these three times.
+"""Callers abandon a stream that has no event for the longest of these three times.
 
-The second is a multiple of the route's latency objective, the third of its target
-for the gap between events.
+They are a fixed minimum, a multiple of the route's latency objective and a multiple
+of its target for the gap between events.
 """
 
 
--- a/chutelink/platform/customers.py
+++ b/chutelink/platform/customers.py
@@ -17,6 +17,7 @@
 FIELD_KEY_HASHES = "key_hashes"
 """Replaces ``keys`` as soon as a configuration has been read."""
 FIELD_PROBLEM = "key_problem"
+"""Replaces ``keys`` if one of them is malformed."""
 UNITS = {
     "": QuotaUnit.REQUESTS,
     "requests": QuotaUnit.REQUESTS,
@@ -100,7 +101,9 @@
         for key_hash in wire.key_hashes:
             if owners.setdefault(key_hash, wire.name) != wire.name:
                 other = owners[key_hash]
-                raise _make_error(f"key of {other!r} is used again", wire.name)
+                raise _make_error(
+                    f"key already belongs to customer {other!r}", wire.name
+                )
         customers[CustomerName(wire.name)] = Customer(
             CustomerName(wire.name),
             tuple(KeyHash(key_hash) for key_hash in wire.key_hashes),
--- a/chutelink/platform/endpoints.py
+++ b/chutelink/platform/endpoints.py
@@ -21,8 +21,6 @@
 
 PATH_REPORT = "/api/report"
 PATH_ORDER = "/api/order"
-
-
 ADDRESS_PATTERN = r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$"
 
 
--- a/chutelink/platform/headers.py
+++ b/chutelink/platform/headers.py
@@ -55,7 +55,7 @@
 HTTP_MISDIRECTED = 421
 HTTP_UNAVAILABLE = 503
 NOT_RUN_STATUSES = frozenset({408, 429, 503})
-"""Callers rely on these meaning that the request was not run.
+"""Callers take these statuses to mean that the request was not run.
 
 An endpoint's answer with one of them is only trusted with ``X-Not-Executed``.
 """
--- a/chutelink/platform/store.py
+++ b/chutelink/platform/store.py
@@ -85,8 +85,8 @@
 def _decode_row(row: _WireRow) -> Row:
     """Decode a row; a value that can't be decoded becomes ``UNREADABLE``.
 
-    External writers may store anything. If this raised an error, a single bad row would
-    make every read of its table fail at all daemons for as long as it exists.
+    External writers may store anything. If this function raised an error, a single
+    bad row would make every daemon's reads of its table fail for as long as it exists.
     """
     table = TABLES_BY_WIRE_NAME.get(row.table, row.table)
     key = f"{table}/{row.key}"
@@ -135,8 +135,8 @@
             if not wire.truncated or not wire.rows:
                 break
             params["from"] = wire.rows[-1].key + "\0"
-        kept = [_decode_row(row) for row in rows]
-        changed = [row for row in kept if row.version > after_version]
+        decoded = [_decode_row(row) for row in rows]
+        changed = [row for row in decoded if row.version > after_version]
         return msgspec.structs.replace(first, rows=changed)
 
     async def async_watch(
@@ -217,7 +217,7 @@
         for check in transaction.checks
         for table, key in [_split_key(check.key)]
     ]
-    kept = [
+    set_rows = [
         _encode_write(write, transaction.id)
         for write in transaction.writes
         if write.value is not None
@@ -228,7 +228,7 @@
         if write.value is None
         for table, key in [_split_key(write.key)]
     ]
-    return {"expected_rev": checks, "set_keys": kept, "remove": removed}
+    return {"expected_rev": checks, "set_keys": set_rows, "remove": removed}
 
 
 def _encode_write(write: Write, write_id: WriteId) -> dict[str, str]:
--- a/chutelink/settings.py
+++ b/chutelink/settings.py
@@ -23,7 +23,6 @@
 Text = Annotated[str, Meta(min_length=1, max_length=256)]
 LogLevel = Annotated[str, Meta(pattern=r"^(debug|info|warning|error)$")]
 
-
 DEFAULT_PEER_PORT = 7101
 
 
--- a/chutelink/store/http.py
+++ b/chutelink/store/http.py
@@ -34,10 +34,8 @@
 HTTP_NOT_FOUND = 404
 HTTP_CONFLICT = 409
 
-
 DEFAULT_STATUSES = frozenset({HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT})
-"""Statuses that a healthy service of the project's own protocol returns."""
-
+"""Statuses that a healthy service returns in the project's own protocol."""
 
 READ_RETRY_FRACTION = 0.4
 """Fraction of the timeout after which a read is retried on a new connection.
@@ -196,7 +194,7 @@
         step: str,
         wait_s: float,
     ) -> ServiceResponse:
-        """Send a request, retry it if there is no response; return the first one."""
+        """Send a request, retry it if needed, and return the first response."""
         started_s = now_s()
         async_send, async_send_again = sends
         first = asyncio.ensure_future(async_send())
--- a/tests/director/__init__.py
+++ b/tests/director/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the director package."""
+"""Tests of chutelink.director."""
--- a/tests/director/test_leases.py
+++ b/tests/director/test_leases.py
@@ -52,7 +52,7 @@
             manager.is_releasing = False
         else:
             asyncio.run(manager._async_tick())
-        holders = [k._core.daemon_id for k in managers if k.held()]
+        holders = [m._core.daemon_id for m in managers if m.held()]
         assert len(holders) <= 1, holders
         held_steps += len(holders)
     assert held_steps > 50
--- a/tests/director/test_ledger_machine.py
+++ b/tests/director/test_ledger_machine.py
@@ -261,8 +261,8 @@
     @rule(is_busy=st.booleans())
     def change_requests(self, is_busy):
         """Start or end requests; an artifact stays in memory while it has any."""
-        for artifact, kept in list(self.engine.resident_artifacts.items()):
-            kept.running = int(is_busy)
+        for artifact, resident in list(self.engine.resident_artifacts.items()):
+            resident.running = int(is_busy)
             self.engine._free_if_drained(artifact)
 
     @precondition(lambda self: self.checks_fencing and self.delivered)
@@ -273,10 +273,10 @@
         self.deliver_to_engine(self.delivered[index])
 
     def deliver_to_engine(self, order):
-        async def async_take():
+        async def async_deliver():
             self.engine.apply_order(order)
 
-        self.loop.run_until_complete(async_take())
+        self.loop.run_until_complete(async_deliver())
 
     @precondition(lambda self: self.engine.stats.orders > 8)
     @rule()
@@ -319,10 +319,10 @@
         machine.step(0, fault)
     for _ in range(4):
         machine.steps_without_faults(0)
-    resident_artifacts = {
+    loaded = {
         a.name
         for a, h in machine.engine.resident_artifacts.items()
         if h.state is ArtifactState.LOADED
     }
-    assert resident_artifacts == {"first", "small", "small-x"}
+    assert loaded == {"first", "small", "small-x"}
     machine.teardown()
--- a/tests/endpoints/test_monitor.py
+++ b/tests/endpoints/test_monitor.py
@@ -16,6 +16,7 @@
 
 LEAVING_BOUND_S = 3.0
 OPA_ENGINES = 9
+"""Number of engines in ``examples/opa.ini``."""
 OPA_REPORT_BYTES = 359 + 300
 """Size of a compressed report of 15 artifacts, plus its headers."""
 
--- a/tests/gateway/__init__.py
+++ b/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway package."""
+"""Tests of chutelink.gateway."""
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -211,11 +211,11 @@
     """One such row used to make every read of its table fail, at all daemons."""
 
     async def async_test(store, table):
-        sound = {"write_id": "w", "value": {"a": 1}}
+        readable = {"write_id": "w", "value": {"a": 1}}
         wire = "servers" if prefix == "endpoints/" else "own"
-        after = store.put(wire, "a", sound)
+        after = store.put(wire, "a", readable)
         store.put_raw(wire, "b", text)
-        store.put(wire, "c", sound)
+        store.put(wire, "c", readable)
         page = await table.async_read(prefix)
         changes = await table.async_watch(prefix, after, 0.0)
         assert [row.key for row in page.rows] == [f"{prefix}{key}" for key in "abc"]
--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that mirror the package."""
+"""Tests of chutelink.store."""
--- a/tests/systems/__init__.py
+++ b/tests/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the systems package."""
+"""Tests of chutelink.systems."""
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files as rendered by the platforms."""
+"""The entry daemon's settings file, as rendered from the deployed template."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     "bounds", [{"retry_slack": "-1"}, {"drain_ms": "0"}, {"lease_ms": "soon"}]
 )
 def test_invalid_bounds_are_rejected(bounds):
-    """Each invalid bound is reported as one problem."""
+    """Each file has one invalid bound, which is its only reported problem."""
     _, problems = decode_settings(
         render_entry_settings(**bounds), "entry.ini", EntrySettings
     )
