--- a/chutelink/platform/customers.py
+++ b/chutelink/platform/customers.py
@@ -101,9 +101,7 @@
         for key_hash in wire.key_hashes:
             if owners.setdefault(key_hash, wire.name) != wire.name:
                 other = owners[key_hash]
-                raise _make_error(
-                    f"key already belongs to customer {other!r}", wire.name
-                )
+                raise _make_error(f"customer {other!r} has the same key", wire.name)
         customers[CustomerName(wire.name)] = Customer(
             CustomerName(wire.name),
             tuple(KeyHash(key_hash) for key_hash in wire.key_hashes),
