--- a/chutelink/cli/apply.py
+++ b/chutelink/cli/apply.py
@@ -69,7 +69,7 @@
 async def async_read_version(
     platform: Platform, version: ConfigVersion
 ) -> FleetSpec | None:
-    """Return the fleet of a committed version, or None if it is not found."""
+    """Return the fleet of a committed version; None if it is missing or invalid."""
     key = f"{PREFIX_VERSION}{version:08d}"
     row = decode_value((await platform.table.async_read(key)).get(key), VersionRow)
     body = await platform.objects.async_get(row.hash) if row is not None else None
--- a/chutelink/cli/explain_request.py
+++ b/chutelink/cli/explain_request.py
@@ -42,6 +42,7 @@
 DEPENDENCY_EVENTS = frozenset(
     {"store_lost", "store_regained", "member_down", "draining"}
 )
+"""Events of the store and the daemons, which may affect any request."""
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 
 
@@ -112,7 +113,11 @@
 
 
 def _find_related(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
-    """Return events on the request's model and endpoints, and on dependencies."""
+    """Return the state events related to the request, and all dependency events.
+
+    State events are related if they name the request's model, endpoint or
+    fingerprint, or concern a lease.
+    """
     start = own[0].at - timedelta(seconds=LOOKBACK_S)
     end = own[-1].at + timedelta(seconds=LOOKAHEAD_S)
     names = _collect_names(own)
--- a/chutelink/cli/held.py
+++ b/chutelink/cli/held.py
@@ -12,7 +12,7 @@
 
 TIMEOUT_S = 5.0
 HTTP_OK = 200
-HTTP_DONE = 204
+HTTP_NO_CONTENT = 204
 HTTP_UNAUTHORIZED = 401
 HTTP_NOT_FOUND = 404
 
@@ -61,7 +61,7 @@
         )
     if status == HTTP_NOT_FOUND:
         return make_failure(ExitCode.INVALID, f"nothing is held as {free}", "see: held")
-    if status == HTTP_DONE:
+    if status == HTTP_NO_CONTENT:
         return Result(ExitCode.OK, [f"{free} is free"], {"free": free})
     return _format_held(msgspec.json.decode(body, type=HeldRequests).held)
 
--- a/chutelink/core.py
+++ b/chutelink/core.py
@@ -124,7 +124,7 @@
         """Return whether this daemon is ready to serve."""
 
     def apply_settings(self, settings: msgspec.Struct) -> None:
-        """Apply settings that were reloaded; by default none may change."""
+        """Apply reloaded settings; the base class ignores them."""
 
     @property
     def max_body_bytes(self) -> int:
--- a/chutelink/daemon.py
+++ b/chutelink/daemon.py
@@ -63,7 +63,7 @@
 
 
 class Daemon(Application):
-    """A daemon that is a member, follows the configuration and polls endpoints."""
+    """A daemon that joins its peers, follows the configuration and polls endpoints."""
 
     abstract = True
     role: Role
--- a/chutelink/director/__init__.py
+++ b/chutelink/director/__init__.py
@@ -1,1 +1,1 @@
-"""The director, which places models, orders loads and maintains the ledger."""
+"""Director daemon: places models, orders loads and maintains the memory ledger."""
--- a/chutelink/director/app.py
+++ b/chutelink/director/app.py
@@ -1,4 +1,4 @@
-"""Application object that wires the components of a director."""
+"""Director application: creates the components and connects them."""
 
 from __future__ import annotations
 
--- a/chutelink/director/main.py
+++ b/chutelink/director/main.py
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Run a director."""
+    """Run the director daemon and return its exit code."""
     return run_program(
         "chutelink-director",
         "Place models, order loads and keep the memory ledger.",
--- a/chutelink/exceptions.py
+++ b/chutelink/exceptions.py
@@ -32,7 +32,7 @@
 
 
 class PlatformUnavailable(ChutelinkError):
-    """The platform did not execute the call; nothing was changed."""
+    """A call to the platform failed; no conditional write was applied."""
 
 
 class HistoryLost(ChutelinkError):
--- a/chutelink/systems/__init__.py
+++ b/chutelink/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Pure functions that decide from tables, without I/O or access to a clock."""
+"""Policies, limits and state transitions, without I/O or access to a clock."""
--- a/chutelink/systems/packing.py
+++ b/chutelink/systems/packing.py
@@ -1,4 +1,4 @@
-"""Bin packing of models onto endpoints, with minimum replicas placed first."""
+"""Bin packing of models onto the accelerator memory of endpoints."""
 
 from __future__ import annotations
 
--- a/chutelink/tables/callers.py
+++ b/chutelink/tables/callers.py
@@ -50,7 +50,7 @@
         self._admitted_counts: dict[CallerName, int] = {}
 
     def sync(self, fleet: FleetSpec, gateways: int, now_s: float) -> None:
-        """Apply the callers of a fleet; bursts are split evenly between gateways."""
+        """Apply the callers of a fleet; rates and bursts are split between gateways."""
         even_share = 1.0 / max(1, gateways)
         self._rates_per_s = {n: c.rate_per_s for n, c in fleet.callers.items()}
         self._even_share_per_s = {
--- a/chutelink/tables/endpoints.py
+++ b/chutelink/tables/endpoints.py
@@ -135,7 +135,10 @@
         self._holders: dict[Artifact, set[EndpointName]] = defaultdict(set)
 
     def sync(self, fleet: FleetSpec) -> None:
-        """Add the endpoints that the fleet declares and remove all others."""
+        """Apply the endpoints that the fleet declares and remove all others.
+
+        An endpoint whose URL has changed starts again in an unknown state.
+        """
         for name in self.rows.keys() - fleet.endpoints.keys():
             self._update_index(self.rows.pop(name), frozenset())
         for name, spec in fleet.endpoints.items():
