--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -133,7 +133,7 @@
 def make_quota_manager(
     core: SimpleNamespace, *, is_lending: bool = True
 ) -> QuotaManager:
-    """Return a daemon's quota manager with example bounds."""
+    """Return a daemon's quota manager, with round bounds."""
     bounds = QuotaBounds(window_s=8.0, excess_share=0.1, slack=0.0)
     return QuotaManager(core, bounds, is_lending=is_lending)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The entry daemon's settings file, as rendered from the deployed template."""
+"""Settings files as rendered by the platforms."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     "bounds", [{"retry_slack": "-1"}, {"drain_ms": "0"}, {"lease_ms": "soon"}]
 )
 def test_invalid_bounds_are_rejected(bounds):
-    """Each file has one invalid bound, which is its only reported problem."""
+    """Each invalid bound is reported as one problem."""
     _, problems = decode_settings(
         render_entry_settings(**bounds), "entry.ini", EntrySettings
     )
