--- a/chutelink/cli/held.py
+++ b/chutelink/cli/held.py
@@ -1,4 +1,4 @@
-"""List the requests that a fleet quarantines, and release one."""
+"""The command held: lists quarantined requests, or releases one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 TIMEOUT_S = 5.0
 HTTP_OK = 200
-HTTP_DONE = 204
+HTTP_NO_CONTENT = 204
 HTTP_UNAUTHORIZED = 401
 HTTP_NOT_FOUND = 404
 
@@ -23,7 +23,9 @@
     daemon: str,
     free: str | None,
 ) -> Result:
-    """Query one daemon; each knows the quarantined requests of all daemons.
+    """List or release quarantined requests through one daemon.
+
+    Each daemon knows the quarantined requests of all daemons.
 
     Parameters
     ----------
@@ -59,7 +61,7 @@
         )
     if status == HTTP_NOT_FOUND:
         return make_failure(ExitCode.INVALID, f"nothing is held as {free}", "see: held")
-    if status == HTTP_DONE:
+    if status == HTTP_NO_CONTENT:
         return Result(ExitCode.OK, [f"{free} is free"], {"free": free})
     return _format_held(msgspec.json.decode(body, type=HeldRequests).held)
 
--- a/chutelink/systems/packing.py
+++ b/chutelink/systems/packing.py
@@ -1,4 +1,4 @@
-"""Bin packing of models onto endpoints, with minimum replicas placed first."""
+"""Bin packing of models onto the accelerator memory of endpoints."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
     from ..tables.ledger import LedgerRow
 
 Assignment = dict[str, set[str]]
+"""Names of the models to hold, by endpoint."""
 
 
 class PackResult(msgspec.Struct):
