--- a/bench/account.py
+++ b/bench/account.py
@@ -24,19 +24,19 @@
     """Why a request was not answered in time."""
 
     FIRST_EVENT_LATE = "first event late at an endpoint"
-    LATE_AFTER_MODEL_WAIT = "late for waiting for its model"
+    LATE_AFTER_MODEL_WAIT = "late after waiting for its model"
     PAUSE_TOO_LONG = "pause too long"
     ANSWER_LATE = "answer late"
     MODEL_NOT_LOADED = "model not loaded"
     MODEL_LOADING = "model being loaded"
-    ADAPTER_NOT_LOADED = "adapter not there"
+    ADAPTER_NOT_LOADED = "adapter not loaded"
     ENDPOINTS_BUSY = "endpoints busy"
     NOT_ACCEPTED = "no endpoint took it"
     DAEMON_STOPPING = "daemon stopping or starting"
     CALLER_LEFT_WHILE_HELD = "caller left while held"
     CALLER_LEFT_AT_ENDPOINT = "caller left while at an endpoint"
-    CUT_OFF = "cut, or without an answer"
-    ENDPOINT_ERROR = "endpoint's own error"
+    CUT_OFF = "cut off, or without an answer"
+    ENDPOINT_ERROR = "error of the endpoint"
     OTHER_REFUSAL = "other refusal"
 
 
@@ -83,8 +83,8 @@
     endpoint: str
 
 
-class LossReport(msgspec.Struct):
-    """Results of a test run; times are in seconds from its first request."""
+class FailureReport(msgspec.Struct):
+    """Summary of some logs; times are in seconds from the first request."""
 
     answered: int = 0
     failures: list[FailedRequest] = []
@@ -95,7 +95,8 @@
 def parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
     """Parse log lines.
 
-    The last word before ``time=`` on a line is the daemon's name.
+    The name of the daemon is the last word before ``time=``, or else the field
+    ``daemon``.
     """
     for line in lines:
         start = line.find("time=")
@@ -108,9 +109,9 @@
         yield LogLine(at.timestamp(), daemon, fields.pop("event"), fields)
 
 
-def build_report(lines: Iterable[str]) -> LossReport:
+def build_report(lines: Iterable[str]) -> FailureReport:
     """Classify the requests and collect the placement changes."""
-    report = LossReport()
+    report = FailureReport()
     waited_for_model: set[str] = set()
     first_arrival_s: float | None = None
     for line in parse_lines(lines):
@@ -132,7 +133,7 @@
 
 
 def _add_request(
-    report: LossReport, line: LogLine, at_s: float, waited_for_model: set[str]
+    report: FailureReport, line: LogLine, at_s: float, waited_for_model: set[str]
 ) -> None:
     report.answered += int(line.number("good_left_out") or 0)
     reason = classify(
@@ -153,7 +154,7 @@
     )
 
 
-def _make_times_relative(report: LossReport, first_arrival_s: float) -> None:
+def _make_times_relative(report: FailureReport, first_arrival_s: float) -> None:
     """Convert wall-clock times to seconds since the first request."""
     report.failures = [
         msgspec.structs.replace(failed, at_s=failed.at_s - first_arrival_s)
@@ -206,7 +207,7 @@
 def _table(title: str, counts: dict[str, Counter[str]], columns: list[str]) -> str:
     """Return a Markdown table, sorted by the number of failed requests."""
     rows = sorted(counts.items(), key=lambda item: -item[1].total())[:MAX_ROWS]
-    lines = [f"| {title} | lost | " + " | ".join(columns) + " |"]
+    lines = [f"| {title} | failed | " + " | ".join(columns) + " |"]
     lines.append("| --- " * (len(columns) + 2) + "|")
     for name, by_reason in rows:
         cells = " | ".join(str(by_reason[column]) for column in columns)
@@ -214,7 +215,7 @@
     return "\n".join(lines)
 
 
-def render(report: LossReport) -> str:
+def render(report: FailureReport) -> str:
     """Return the report as Markdown."""
     total = Counter(failed.reason.value for failed in report.failures)
     columns = [reason for reason, _ in total.most_common()]
@@ -225,8 +226,8 @@
         "from second": lambda failed: f"{failed.at_s // WINDOW_S * WINDOW_S:g}",
     }
     parts = [
-        f"{report.answered} answered in time, {len(report.failures)} lost, "
-        f"{len(report.changes)} changes of placement"
+        f"{report.answered} answered in time, {len(report.failures)} failed, "
+        f"{len(report.changes)} placement changes"
     ]
     for title, key in keys.items():
         counts: dict[str, Counter[str]] = {}
@@ -236,7 +237,7 @@
     return "\n\n".join(parts)
 
 
-def plot(report: LossReport, path: str) -> None:
+def plot(report: FailureReport, path: str) -> None:
     """Plot failed requests over time above the placement changes."""
     import matplotlib
 
@@ -258,7 +259,7 @@
         names = [reason.value for reason in reasons]
         upper.hist(times, bins=bins, stacked=True, label=names)
         upper.legend(fontsize=7)
-    upper.set_ylabel(f"requests lost in {WINDOW_S:g} s")
+    upper.set_ylabel(f"requests failed in {WINDOW_S:g} s")
     models = [change for change in report.changes if "/" not in change[2]]
     endpoints = sorted({endpoint for _, endpoint, _, _ in models})
     for at_s, endpoint, artifact, reason in models:
--- a/bench/capacity_daemons.py
+++ b/bench/capacity_daemons.py
@@ -35,13 +35,13 @@
 
 
 def _report_body() -> bytes:
-    held = tuple(
+    artifacts = tuple(
         ReportedArtifact(
             f"m{n}", "1", ArtifactState.LOADED, (n,), 30000, FencingNumber(n)
         )
         for n in range(3)
     )
-    return msgspec.json.encode(EndpointReport(BootId("b" * 32), artifacts=held))
+    return msgspec.json.encode(EndpointReport(BootId("b" * 32), artifacts=artifacts))
 
 
 class _ReportServer:
--- a/bench/capacity_plans.py
+++ b/bench/capacity_plans.py
@@ -59,10 +59,10 @@
         held_kb = tracemalloc.get_traced_memory()[0] / 1000
         tracemalloc.stop()
         demand = {name: 50.0 * (i % 3) for i, name in enumerate(fleet.models)}
-        given = PlacementInput(fleet, rows, frozenset(rows), demand)
+        placement_input = PlacementInput(fleet, rows, frozenset(rows), demand)
         placement = make_placement(fleet.options)
         started_s = time.perf_counter()
-        placement.plan(given)
+        placement.plan(placement_input)
         elapsed_ms = (time.perf_counter() - started_s) * 1000
         points.append(Point("placement plan, ms by endpoints", size, elapsed_ms))
         points.append(Point("ledger in memory, KB by endpoints", size, held_kb))
--- a/bench/holds.py
+++ b/bench/holds.py
@@ -2,8 +2,9 @@
 
 Simulates streams at a few engines in virtual time, with the real suspect table. A
 request that is quarantined wrongly is lost to its caller; one that is quarantined late
-ends another engine and everything that runs there. Each scenario has a caller that
-repeats a deadly request, engines that crash in groups for other reasons, or both.
+crashes another engine and cuts off everything that runs there. Each scenario has a
+caller that repeats a deadly request, engines that crash in groups for other reasons, or
+both.
 """
 
 from __future__ import annotations
@@ -81,7 +82,7 @@
     Parameters
     ----------
     endings : int
-        Number of endings after which a request is quarantined.
+        Threshold: number of crashes after which a request is quarantined.
     seed : int
         Seed of arrivals, stream lengths and crashes.
     """
@@ -208,8 +209,8 @@
 
 
 def run_holds() -> None:
-    """Print the losses for each scenario and threshold."""
-    print("day                 ends to hold  lost a day (se)  held  engines ended")
+    """Print the mean losses for each scenario and threshold."""
+    print("scenario               threshold         lost (se)  held engine crashes")
     scenarios = {
         "deadly": (True, False),
         "crashes": (False, True),
--- a/bench/load.py
+++ b/bench/load.py
@@ -23,7 +23,10 @@
 
 
 class Latency(msgspec.Struct, frozen=True):
-    """Latency percentiles in milliseconds, with request and failure counts."""
+    """Latency percentiles of the answered requests in milliseconds.
+
+    ``count`` is the number of answered requests, ``failures`` that of all others.
+    """
 
     name: str
     count: int
--- a/bench/main.py
+++ b/bench/main.py
@@ -23,7 +23,7 @@
         "changes", help="time until a new version is in force everywhere"
     )
     commands.add_parser("plans", help="placement planning time by deployment size")
-    commands.add_parser("holds", help="when to quarantine deadly requests")
+    commands.add_parser("holds", help="compare thresholds for quarantining a request")
     commands.add_parser("pauses", help="simulate prompt spacing at one engine")
     command = commands.add_parser(
         "quotas", help="compare quota strategies across a fleet"
--- a/bench/pauses.py
+++ b/bench/pauses.py
@@ -106,13 +106,13 @@
 
 
 class Engine:
-    """One engine, and the queue of requests for it.
+    """A simulated engine, and the queue of requests that are not sent to it yet.
 
     Parameters
     ----------
     streams : list of Stream
         In order of arrival.
-    is_spaced : bool
+    has_prompt_spacing : bool
         Whether prompts are spaced out to bound the pauses of running streams.
     """
 
@@ -212,7 +212,7 @@
 
 def run_pauses() -> None:
     """Print the share of late or paused streams, by load."""
-    print("| drafts a second | spaced out | drafts lost | tagging lost |")
+    print("| drafts per second | prompt spacing | drafts lost | tagging lost |")
     print("| --- | --- | --- | --- |")
     for drafts_per_s in (5.0, 8.0, 11.0):
         for has_prompt_spacing in (False, True):
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -32,7 +32,7 @@
 USES_PER_MESSAGE = 5
 DAEMONS = 16
 BUSY_MODELS = 40
-"""Number of models that receive four of five requests."""
+"""Number of models that receive at least four fifths of the requests."""
 COLD_LOADS = 3
 
 
@@ -63,7 +63,7 @@
 
 
 def _make_site(number: int, models: list[ModelName], rng: random.Random) -> Site:
-    held = dict.fromkeys(rng.sample(models, MODELS_PER_ENDPOINT), frozenset())
+    loaded = dict.fromkeys(rng.sample(models, MODELS_PER_ENDPOINT), frozenset())
     record = EndpointRecord(
         EndpointId(f"i-{number}"),
         ServiceName("llm"),
@@ -71,11 +71,11 @@
         FailureDomainName("a"),
         EndpointState.READY,
         64,
-        held,
+        loaded,
     )
     inventory = Inventory(record.id)
     copies = tuple(rng.sample(models, DISK_COPIES_PER_ENDPOINT))
-    inventory.apply_report(EndpointReport(0, False, held, on_disk=copies), NOW_S)
+    inventory.apply_report(EndpointReport(0, False, loaded, on_disk=copies), NOW_S)
     return Site(Endpoint(record), inventory)
 
 
@@ -105,7 +105,7 @@
 
 def run_plans() -> None:
     """Measure the planning time of each size and print a table."""
-    print("| endpoints | models | changes | ms a plan |")
+    print("| endpoints | models | changes | ms per plan |")
     print("| --- | --- | --- | --- |")
     for size in DEPLOYMENT_SIZES:
         view = make_view(size, random.Random(SEED))
--- a/bench/quota_strategies.py
+++ b/bench/quota_strategies.py
@@ -91,7 +91,7 @@
         return False
 
     def restart_all(self, now_s: float) -> None:
-        """Restart all daemons, as successors of processes that had run for long."""
+        """Restart all daemons, after a run long enough for a start allowance."""
         self.buckets = self._make_buckets(now_s)
         for bucket in self.buckets:
             bucket.add_start_allowance(now_s)
@@ -171,7 +171,7 @@
             self.window_totals[daemon] -= window.popleft()[1]
 
     def admit(self, daemon: int, cost: float, now_s: float) -> bool:
-        """Return whether the cost fits within the quota and the sum of all windows."""
+        """Return whether the cost and the totals of all windows fit in the quota."""
         self._broadcast(now_s)
         self._expire(daemon, now_s)
         reported = self.reported[daemon]
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -48,6 +48,10 @@
 DOWNTIME_S = 0.7
 STRATEGIES = (FixedShares, LentShares, ToldSums, CountingDaemon)
 SCENARIOS = ("calm", "hot", "hot, cut", "hot, all killed")
+"""Steady load, or overload by one customer: alone, with a partition, or a restart.
+
+The names are part of the seeds: renaming a scenario changes its results.
+"""
 
 
 class QuotaOutcome(msgspec.Struct):
@@ -157,7 +161,8 @@
     """Print the table, and optionally write it as CSV and as a plot."""
     rows = []
     print(
-        f"{'day':16}{'daemons':>8}  {'way':16}{'most':>8}{'refused':>9}{'messages':>10}"
+        f"{'scenario':16}{'daemons':>8}  {'strategy':16}"
+        f"{'peak':>8}{'refused':>9}{'messages':>10}"
     )
     for scenario in SCENARIOS:
         for count in FLEET_SIZES:
@@ -208,8 +213,8 @@
             label=strategy.__name__,
         )
     left.axhline(1.0, color="black", linewidth=0.8)
-    left.set_title("most in a window, over what is allowed")
-    right.set_title("share refused of what was within quotas")
+    left.set_title("largest usage in a window / allowed usage")
+    right.set_title("refused share of the tokens within quotas")
     for axes in (left, right):
         axes.tick_params(axis="x", rotation=80)
     left.legend()
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""A minimal relay built on the same HTTP library, as a lower bound for a gateway."""
+"""A minimal relay on the same HTTP library: a lower bound for a gateway's latency."""
 
 from __future__ import annotations
 
--- a/bench/simulated_components.py
+++ b/bench/simulated_components.py
@@ -61,7 +61,7 @@
             ClaimState.LOADED: ArtifactState.LOADED,
             ClaimState.UNLOADING: ArtifactState.DRAINING,
         }
-        held = tuple(
+        artifacts = tuple(
             ReportedArtifact(
                 claim.artifact.name,
                 claim.artifact.version,
@@ -78,7 +78,7 @@
             waiting=len(self.waiting),
             prefill_tokens_per_s=PREFILL_TOKENS_PER_S,
             step_s=STEP_S,
-            artifacts=held,
+            artifacts=artifacts,
             cached_prefixes=tuple(self.cache),
         )
 
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,4 +1,4 @@
-"""Discrete-event simulation: the real decision code against simulated components."""
+"""Discrete-event simulation: real decision code on simulated components."""
 
 from __future__ import annotations
 
@@ -147,9 +147,9 @@
         engine.row = msgspec.structs.replace(engine.row, claims=tuple(claims))
 
     def _report_all(self) -> None:
-        """Deliver each engine's report to the gateways after ``REPORT_LAG_S`` at least.
+        """Deliver each engine's newest report that is at least ``REPORT_LAG_S`` old.
 
-        A gateway therefore misses changes of the prefix cache between two reports.
+        The gateways miss changes of the prefix cache between two reports.
         """
         for name, engine in self._engines.items():
             engine.reports.append((self._now_s, engine.report()))
