--- a/soak/endpoint_signals.py
+++ b/soak/endpoint_signals.py
@@ -15,7 +15,7 @@
 PAUSE_GRACE_S = 0.5
 """How soon a pause must be obeyed after it was requested."""
 PROPAGATION_MARGIN_S = 0.5
-"""Allowance for answers and updates between daemons on busy test machines."""
+"""Allowance for slow answers and slow updates between daemons on busy machines."""
 MAX_REQUESTS_IN_PAUSE = 2
 """Requests that an endpoint may receive from one daemon during a pause."""
 
@@ -47,7 +47,7 @@
     signals : list of EndpointSignal
         Signals with their periods.
     endpoints : dict
-        Of each endpoint, the arrival times of requests and the times of signals.
+        For each endpoint, when requests arrived and when answers carried signals.
     disturbances : list of tuple
         Periods in which daemons were stopped, started or frozen.
     daemons, callers : int
@@ -89,12 +89,13 @@
     else:
         from_s = signaled_s + PAUSE_GRACE_S + PROPAGATION_MARGIN_S
         until_s = min(signal.ended_s, signaled_s + signal.value)
-        # The other daemons may not have received the pause from this endpoint yet.
+        # Daemons that have no answer with the pause yet may send a request per caller.
         allowed = MAX_REQUESTS_IN_PAUSE * daemons + (daemons - 1) * callers
     checked_arrivals_s = [time_s for time_s in arrived_s if from_s <= time_s <= until_s]
     most = max_events_in_window(checked_arrivals_s, LIMIT_WINDOW_S)
     if most <= allowed:
         return []
     return [
-        f"{signal.endpoint} got {most} during {signal.kind.value}, {allowed} allowed"
+        f"{signal.endpoint} received {most} requests during {signal.kind.value}, "
+        f"{allowed} allowed"
     ]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -63,7 +63,7 @@
     Attributes
     ----------
     violations : list of str
-        Violations seen while daemons were stopped.
+        Violations found when daemons were stopped.
     version : int
         Latest configuration version written to the store.
     configured_s : float
@@ -83,7 +83,10 @@
         self.restart_counts = [0] * daemons
         """Number of restarts of each daemon."""
         self._endpoint_locks = {name: asyncio.Lock() for name in ENDPOINTS}
-        """Held during a signal, as signals do not apply to a new endpoint process."""
+        """Held during a signal, so that no fault replaces the endpoint's process.
+
+        Signals of the former process do not apply to its successor.
+        """
         self.signals: list[EndpointSignal] = []
         """Signals that endpoints sent in their answers."""
         self.disturbances: list[tuple[float, float]] = []
@@ -169,7 +172,7 @@
         process = self._deployment.processes[f"vm-{daemon}"]
         process.terminate()
         code = await process.async_wait()
-        # Before it handles signals, a process has read nothing and dies of SIGTERM.
+        # SIGTERM kills a daemon that does not handle it yet and has read no requests.
         is_early = code == -signal.SIGTERM and not process.has_started
         if code != 0 and not is_early:
             self.violations.append(f"vm-{daemon} exited with {code} after SIGTERM")
--- a/soak/invariants.py
+++ b/soak/invariants.py
@@ -16,9 +16,9 @@
 def check_executions(outcomes: list[Outcome], executions: Counter[str]) -> list[str]:
     """Report requests that ran more than once where forbidden, or despite a refusal."""
     violations = [
-        f"{name} ran {count} times"
-        for name, count in executions.items()
-        if count > 1 and name.startswith(RequestKind.ONCE.value)
+        f"{request_id} ran {count} times"
+        for request_id, count in executions.items()
+        if count > 1 and request_id.startswith(RequestKind.ONCE.value)
     ]
     violations += [
         f"{outcome.id} was refused with {outcome.status} but ran"
@@ -48,7 +48,7 @@
 
 
 def check_deadlines(outcomes: list[Outcome], deadline_s: float) -> list[str]:
-    """Report requests that ended too late; the caller leaves out frozen daemons."""
+    """Report requests that ended too late; pass none that a frozen daemon received."""
     return [
         f"{outcome.id} took {outcome.ended_s - outcome.began_s:.2f} s"
         for outcome in outcomes
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -20,7 +20,10 @@
 RECOVERY_S = 9.0
 """Long enough for the last fault to end and for all bounds to apply again."""
 CONFIG_CHANGE_DELAY_S = 6.0
-"""Start of a configuration change in a recovery period, where its bound applies."""
+"""Start of a configuration change, counted from the end of the burst.
+
+By then the bound on configuration changes applies again.
+"""
 
 
 class FaultKind(Enum):
--- a/soak/run.py
+++ b/soak/run.py
@@ -102,9 +102,9 @@
                 self._check_version(daemon, restart_count, version, status)
 
     async def _async_version_status(self, daemon: int, version: int) -> int:
-        route_path, name = f"{version_prefix(version)}x", f"probe-{version}"
+        path, request_id = f"{version_prefix(version)}x", f"probe-{version}"
         try:
-            async with self._deployment.request(daemon, route_path, name) as answer:
+            async with self._deployment.request(daemon, path, request_id) as answer:
                 await answer.read()
                 return answer.status
         except CONNECTION_ERRORS:
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -40,8 +40,8 @@
 MAX_LOGGED_REQUESTS = 200_000
 
 
-class EndpointFaults(msgspec.Struct, frozen=True):
-    """Injected faults; each affected call decrements its count."""
+class EngineEndpointFaults(msgspec.Struct, frozen=True):
+    """Injected faults; each affected call decrements the count of its fault."""
 
     lose_orders: int = 0
     lose_order_replies: int = 0
@@ -58,14 +58,14 @@
     leaving: bool = False
 
 
-class EndpointStandin:
+class EngineEndpointStandin:
     """Serves an engine over HTTP."""
 
     def __init__(
         self, options: EngineOptions, order_key: str, weights_url: str, load_s: float
     ) -> None:
         self.engine = Engine(options, self._async_fetch_weights)
-        self.faults = EndpointFaults()
+        self.faults = EngineEndpointFaults()
         self._order_key = order_key
         self._weights_url = weights_url
         self._load_s = load_s
@@ -85,7 +85,7 @@
         return app
 
     async def _async_fetch_weights(self, memory_mb: int) -> None:
-        """Wait for a load that the weight store rate-limits, or for a fixed time."""
+        """Wait as long as a load takes, after the weight store has admitted it."""
         if not self._weights_url:
             await asyncio.sleep(self._load_s)
             return
@@ -110,10 +110,10 @@
             await asyncio.sleep(0.02)
 
     def _consume_fault(self, field: str) -> bool:
-        left = getattr(self.faults, field)
-        if left <= 0:
+        remaining = getattr(self.faults, field)
+        if remaining <= 0:
             return False
-        self.faults = msgspec.structs.replace(self.faults, **{field: left - 1})
+        self.faults = msgspec.structs.replace(self.faults, **{field: remaining - 1})
         return True
 
     async def _async_abort_connection(self, request: web.Request) -> None:
@@ -190,7 +190,7 @@
     async def _async_send_complete(
         self, request: web.Request, body: dict, artifact: Artifact, request_id: str
     ) -> web.Response:
-        cut = self._consume_fault("cut_answers")
+        is_cut = self._consume_fault("cut_answers")
         parts = [token async for token in self._generate(request, body, artifact)]
         text = "".join(parts)
         is_chat = "messages" in body
@@ -209,7 +209,7 @@
             }
         )
         headers = {HEADER_REQUEST_ID: request_id}
-        if not cut:
+        if not is_cut:
             return web.Response(
                 body=payload, headers=headers, content_type="application/json"
             )
@@ -224,14 +224,14 @@
     async def _async_stream(
         self, request: web.Request, body: dict, artifact: Artifact, request_id: str
     ) -> web.StreamResponse:
-        cut = self._consume_fault("cut_answers")
+        is_cut = self._consume_fault("cut_answers")
         response = web.StreamResponse(headers={HEADER_REQUEST_ID: request_id})
         response.content_type = "text/event-stream"
         await response.prepare(request)
         sent = 0
         key = "delta" if "messages" in body else "text"
         async for token in self._generate(request, body, artifact):
-            if cut and sent >= self.faults.cut_after_tokens:
+            if is_cut and sent >= self.faults.cut_after_tokens:
                 await self._async_abort_connection(request)
             await self._async_wait_while_frozen()
             value = {"content": token} if key == "delta" else token
@@ -284,5 +284,7 @@
         checks_fencing=not args.ignore_fencing,
         report_lag_s=args.report_lag_s,
     )
-    standin = EndpointStandin(options, args.order_key, args.weights_url, args.load_s)
+    standin = EngineEndpointStandin(
+        options, args.order_key, args.weights_url, args.load_s
+    )
     return serve(standin.make_app(), args.address, args.port)
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -198,7 +198,7 @@
         changes += [(e["table"], e["key"], None) for e in body["remove"]]
         version = self._commit(changes)
         if self.faults.lose_replies:
-            left = self.faults.lose_replies - 1
-            self.faults = msgspec.structs.replace(self.faults, lose_replies=left)
+            remaining = self.faults.lose_replies - 1
+            self.faults = msgspec.structs.replace(self.faults, lose_replies=remaining)
             request.transport.abort()
         return json_response({"ver": version, "now_ms": 0})
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -168,8 +168,8 @@
         return json_response({"version": self.table.commit(transaction)})
 
     def _consume_fault(self, field: str) -> None:
-        left = getattr(self.faults, field) - 1
-        self.faults = msgspec.structs.replace(self.faults, **{field: left})
+        remaining = getattr(self.faults, field) - 1
+        self.faults = msgspec.structs.replace(self.faults, **{field: remaining})
 
     async def _async_abort_connection(self, request: web.Request) -> None:
         """Abort the connection without a reply."""
--- a/standins/prepared_endpoint.py
+++ b/standins/prepared_endpoint.py
@@ -30,7 +30,7 @@
 
 
 class EndpointFaults(msgspec.Struct, frozen=True):
-    """Injected faults of one endpoint; each affected call decrements its count.
+    """Injected faults of one endpoint; each affected call decrements the count.
 
     ``limit_per_s`` is announced in all answers; 0 announces no limit.
     ``says_leaving`` makes all answers announce that the endpoint is leaving, whatever
@@ -83,7 +83,7 @@
         self.arrived_s: list[float] = []
         """Arrival times of requests, on the monotonic clock of the process."""
         self.signaled_s: list[float] = []
-        """When answers without a stream carried signal headers, on the same clock."""
+        """When answers other than streams carried signals, on the same clock."""
         self.orders: list[dict] = []
         self.cancelled: list[str] = []
         self.crash_count = 0
@@ -137,10 +137,10 @@
         ]
 
     def _consume_fault(self, field: str) -> bool:
-        left = getattr(self.faults, field)
-        if left <= 0:
+        remaining = getattr(self.faults, field)
+        if remaining <= 0:
             return False
-        self.faults = msgspec.structs.replace(self.faults, **{field: left - 1})
+        self.faults = msgspec.structs.replace(self.faults, **{field: remaining - 1})
         return True
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -268,11 +268,11 @@
         await response.prepare(request)
         total = int(request.headers.get("X-Token-Count", "0,5").partition(",")[2])
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        cut = self.faults.cut_after_events if self.faults.cuts else 0
+        cut_after = self.faults.cut_after_events if self.faults.cuts else 0
         try:
             for number in range(first, total + 1):
                 await asyncio.sleep(TOKEN_INTERVAL_S)
-                if cut and number > cut:
+                if cut_after and number > cut_after:
                     self._consume_fault("cuts")
                     await response.write(b"id: 9")
                     reset_connection(request)
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose calls (permits, alarms) run at most once."""
+"""Stand-in for a plain service; calls such as permits must run at most once."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ServiceFaults(msgspec.Struct, frozen=True):
-    """Injected faults; each affected call decrements its count."""
+    """Injected faults; each affected call decrements the count of its fault."""
 
     delay_s: float = 0.0
     cut_answers: int = 0
@@ -66,8 +66,8 @@
             self.lookups += 1
         else:
             key = request.headers.get(HEADER_IDEMPOTENCY_KEY, "")
-            run = Execution(request_id, key, request.path, body)
-            self.executions.append(run)
+            execution = Execution(request_id, key, request.path, body)
+            self.executions.append(execution)
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self._consume_fault("cut_answers"):
@@ -85,10 +85,10 @@
         return response
 
     def _consume_fault(self, field: str) -> bool:
-        left = getattr(self.faults, field)
-        if left <= 0:
+        remaining = getattr(self.faults, field)
+        if remaining <= 0:
             return False
-        self.faults = msgspec.structs.replace(self.faults, **{field: left - 1})
+        self.faults = msgspec.structs.replace(self.faults, **{field: remaining - 1})
         return True
 
     def _abort_connection(self, request: web.Request) -> None:
