--- a/tests/processes/chaos.py
+++ b/tests/processes/chaos.py
@@ -54,8 +54,8 @@
         self._version = 0
         self.faults: Counter[str] = Counter()
         self.outcomes: Counter[str] = Counter()
-        self._not_run: set[str] = set()
-        self._keys: dict[str, set[str]] = {}
+        self._not_run_ids: set[str] = set()
+        self._outcomes_by_key: dict[str, set[str]] = {}
         self.violations: list[str] = []
 
     async def async_run(self) -> None:
@@ -133,7 +133,7 @@
         if status == 200 and body["choices"][0]["message"]["content"] != expected:
             self.violations.append(f"answer {prompt}: {body}")
         if outcome == "not-run":
-            self._not_run.add(headers["X-Request-Id"])
+            self._not_run_ids.add(headers["X-Request-Id"])
 
     async def _async_send_keyed_requests(self, worker: int) -> None:
         number = 0
@@ -152,7 +152,7 @@
                 except CONNECTION_ERRORS:
                     continue
                 outcome = headers.get("Chutelink-Outcome", "done")
-                self._keys.setdefault(key, set()).add(outcome)
+                self._outcomes_by_key.setdefault(key, set()).add(outcome)
                 self.outcomes[f"keyed {outcome}"] += 1
                 if outcome != "not-run":
                     break
@@ -274,12 +274,14 @@
 
     async def _async_check_guarantees(self) -> None:
         deployment = self._deployment
-        for name, account in (await deployment.async_accounts()).items():
-            if account["overcommits"]:
-                self.violations.append(f"{name}: {account['overcommits']}")
+        for name, stats in (await deployment.async_engine_stats()).items():
+            if stats["overcommits"]:
+                self.violations.append(f"{name}: {stats['overcommits']}")
         reached = set(await deployment.async_received_ids())
-        if reached & self._not_run:
-            self.violations.append(f"run though not-run: {reached & self._not_run}")
+        if reached & self._not_run_ids:
+            self.violations.append(
+                f"refused as not-run, but ran: {reached & self._not_run_ids}"
+            )
         url = deployment.services["service-1"]
         runs = Counter(
             run["idempotency_key"]
@@ -288,9 +290,9 @@
         for key, count in runs.items():
             if count > 1:
                 self.violations.append(f"key {key} ran {count} times")
-        for key, outcomes in self._keys.items():
+        for key, outcomes in self._outcomes_by_key.items():
             if outcomes == {"not-run"} and runs[key]:
-                self.violations.append(f"key {key} ran though only not-run was said")
+                self.violations.append(f"key {key} was refused as not-run, but ran")
         await self._async_check_recovery()
 
     async def _async_check_recovery(self) -> None:
@@ -313,10 +315,10 @@
                 async with self._deployment.session.get(f"{url}/metrics") as response:
                     text = await response.text()
             except CONNECTION_ERRORS as error:
-                self.violations.append(f"{url} is gone: {error}")
+                self.violations.append(f"{url} does not respond: {error}")
                 continue
             if "chutelink_invariant_violations_total{" in text:
-                self.violations.append(f"{url} counted a violated invariant")
+                self.violations.append(f"{url} counted violations of an invariant")
 
     async def _async_is_settled(self) -> bool:
         _, status = await self._deployment.async_cli("status")
--- a/tests/processes/deadly_soak.py
+++ b/tests/processes/deadly_soak.py
@@ -1,9 +1,9 @@
 """Soak test of requests that crash endpoints, with faults in daemons and the store.
 
 ``python -m tests.processes.deadly_soak --seeds 50 --seconds 20`` runs new seeds; the
-same seed selects the same faults. Daemons are killed, stopped, frozen and restarted,
-the store has outages, and rows of other writers appear and disappear. These faults
-overlap while clients send crashing and normal requests over keep-alive connections.
+same seed selects the same faults. One after another, daemons are killed, stopped or
+frozen, the store has an outage, and rows of other writers appear and disappear, while
+clients send crashing and normal requests over keep-alive connections.
 
 Checked from outside:
 
@@ -91,12 +91,16 @@
                 await asyncio.sleep(rng.uniform(0.02, 0.3))
 
     async def _async_send(self, session, kind: str, number: int) -> int:
-        name = f"{kind}-{next(self._ids)}"
+        request_id = f"{kind}-{next(self._ids)}"
         is_crashing = kind == "deadly"
-        path = "/again/bad" if is_crashing else f"/{kind}/{name}"
-        body = CRASH_BODY if is_crashing else name.encode()
+        path = "/again/bad" if is_crashing else f"/{kind}/{request_id}"
+        body = CRASH_BODY if is_crashing else request_id.encode()
         address = f"http://{self._deployment.address(number)}:7100{path}"
-        headers = {"Host": "a.example", "X-Request-Id": name, "X-Deadline-Ms": "3000"}
+        headers = {
+            "Host": "a.example",
+            "X-Request-Id": request_id,
+            "X-Deadline-Ms": "3000",
+        }
         try:
             async with session.post(address, data=body, headers=headers) as answer:
                 content = await answer.read()
@@ -105,9 +109,9 @@
             return 0
         self.statuses[f"{kind} {answer.status}"] += 1
         if answer.status in NOT_RUN:
-            self._refused.add(name)
+            self._refused.add(request_id)
         if answer.status == 200 and (is_crashing or content != b"done " + body):
-            self.violations.append(f"{name}: wrong response {content!r}")
+            self.violations.append(f"{request_id}: wrong response {content!r}")
         return answer.status
 
     async def _async_inject_fault(self) -> None:
@@ -128,7 +132,7 @@
         process.terminate()
         code = await process.async_wait()
         # Within its first half second a daemon has not installed its signal handler
-        # and has read no requests: it is terminated by the signal itself.
+        # and has read no requests, so that the signal kills it.
         is_before_handler = code == -signal.SIGTERM and not process.has_started
         if code != 0 and not is_before_handler:
             self.violations.append(f"vm-{number} exited with {code} when stopped")
@@ -197,12 +201,15 @@
             self.violations.append(
                 f"{len(late)} of {len(started_s)} crashing runs started too late"
             )
-        runs = Counter(name for e in endpoints for name in e["runs"])
-        self.violations += [f"{n}: refused, but ran" for n in self._refused & set(runs)]
+        runs = Counter(request_id for e in endpoints for request_id in e["runs"])
         self.violations += [
-            f"{name}: ran {count} times"
-            for name, count in runs.items()
-            if name.startswith("once") and count > 1
+            f"{request_id}: refused, but ran"
+            for request_id in self._refused & set(runs)
+        ]
+        self.violations += [
+            f"{request_id}: ran {count} times"
+            for request_id, count in runs.items()
+            if request_id.startswith("once") and count > 1
         ]
 
 
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -354,7 +354,7 @@
 
             await self.async_until(async_is_served)
 
-    async def async_accounts(self) -> dict[str, dict]:
+    async def async_engine_stats(self) -> dict[str, dict]:
         return {
             name: await self.async_get(f"{values['url']}/standin/account")
             for name, values in self.engines.items()
@@ -362,8 +362,8 @@
         }
 
     async def async_assert_no_overcommit(self) -> None:
-        for name, account in (await self.async_accounts()).items():
-            assert account["overcommits"] == [], (name, account)
+        for name, stats in (await self.async_engine_stats()).items():
+            assert stats["overcommits"] == [], (name, stats)
 
     async def async_received_ids(self) -> list[str]:
         """Return the ids of all requests that reached an engine."""
--- a/tests/processes/shutdown_sweep.py
+++ b/tests/processes/shutdown_sweep.py
@@ -21,8 +21,8 @@
     """A request and its outcome as seen by the client.
 
     ``sent_s`` is when sending began, measured from the stop signal. ``closed_s`` is
-    how long after the last byte the connection was closed without a response; None
-    if there was a response.
+    the time from the last byte of the request until the connection was closed without
+    a response; None if there was a response.
     """
 
     request_id: str
@@ -33,7 +33,7 @@
 
 
 class ClientConnection:
-    """A client connection that stays open until a request is sent on it."""
+    """A client's keep-alive connection, for one request at a time."""
 
     def __init__(self, reader, writer) -> None:
         self._reader = reader
@@ -78,9 +78,9 @@
     make_request : callable
         Returns the encoded request for a request id.
     seed : int
-        Seed of the times at which the daemon's process is stalled.
+        Seed of the pauses within requests and of the stalls.
     has_stalls : bool
-        Whether the process is stalled.
+        Whether the daemon's process is stalled from time to time.
     """
 
     def __init__(
--- a/tests/processes/test_answers.py
+++ b/tests/processes/test_answers.py
@@ -1,4 +1,4 @@
-"""Responses are complete and refusals are correct, as clients and endpoints see it."""
+"""Responses are complete and refusals are true, as seen by clients and endpoints."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
                     )
                 await asyncio.sleep(0.1)
 
-        counts = {"whole": 0, "refused": 0, "no end": 0}
+        counts = {"complete": 0, "refused": 0, "incomplete stream": 0}
 
         async def async_send_request(number):
             model, prompt = ("m", "n")[number % 2], f"prompt {number}"
@@ -67,7 +67,7 @@
                 )
                 if status == 200 and not has_end:
                     assert expected.startswith(text)
-                    counts["no end"] += 1
+                    counts["incomplete stream"] += 1
                     return
             else:
                 status, _, body = await deployment.async_complete(
@@ -78,7 +78,7 @@
                 counts["refused"] += 1
                 return
             assert text == expected
-            counts["whole"] += 1
+            counts["complete"] += 1
 
         injector = asyncio.ensure_future(async_inject())
         for start in range(0, 600, 40):
@@ -87,7 +87,7 @@
             )
         stop.set()
         await injector
-        assert counts["whole"] > 300, counts
+        assert counts["complete"] > 300, counts
 
     asyncio.run(async_run_with_service(tmp_path, async_scenario))
 
--- a/tests/processes/test_crashing_requests.py
+++ b/tests/processes/test_crashing_requests.py
@@ -21,8 +21,8 @@
 """Pause between attempts; daemons on one machine inform each other within ms."""
 
 
-async def async_send(deployment, number: int, name: str) -> int:
-    async with deployment.request(number, "/again/x", name, CRASH_BODY) as answer:
+async def async_send(deployment, number: int, request_id: str) -> int:
+    async with deployment.request(number, "/again/x", request_id, CRASH_BODY) as answer:
         await answer.read()
         return answer.status
 
--- a/tests/processes/test_entry.py
+++ b/tests/processes/test_entry.py
@@ -27,7 +27,7 @@
 
 
 async def async_until_served(deployment, number: int, model: str) -> bytes:
-    """Retry as clients do, as long as the daemon reports that nothing was run_test."""
+    """Retry as clients do, as long as the daemon reports that nothing was run."""
     body = b""
 
     async def async_check() -> bool:
@@ -179,9 +179,9 @@
 
 
 def test_change_arrives_after_store_connections_are_blackholed(tmp_path):
-    """The connections are blackholed without a reset, and new ones work.
+    """Only open connections are blackholed, without a reset; new ones work.
 
-    The placer also goes on.
+    The placer must keep working as well.
     """
 
     async def async_test():
--- a/tests/processes/test_leaving_responses.py
+++ b/tests/processes/test_leaving_responses.py
@@ -18,8 +18,10 @@
     end_s = asyncio.get_running_loop().time() + duration_s
     while asyncio.get_running_loop().time() < end_s:
         number = next(ids)
-        name = f"q{number}"
-        async with deployment.request(number % DAEMONS, "/once/x", name) as answer:
+        request_id = f"q{number}"
+        async with deployment.request(
+            number % DAEMONS, "/once/x", request_id
+        ) as answer:
             await answer.read()
             assert answer.status in (200, 503)
         await asyncio.sleep(0.02)
--- a/tests/processes/test_limits.py
+++ b/tests/processes/test_limits.py
@@ -22,9 +22,9 @@
     for count in itertools.count():
         if asyncio.get_running_loop().time() > end_s:
             return
-        name = f"q{number}-{count}"
+        request_id = f"q{number}-{count}"
         try:
-            async with deployment.request(number, "/once/x", name) as answer:
+            async with deployment.request(number, "/once/x", request_id) as answer:
                 await answer.read()
                 statuses.append(answer.status)
         except CONNECTION_ERRORS:
--- a/tests/processes/test_reachability.py
+++ b/tests/processes/test_reachability.py
@@ -160,7 +160,7 @@
 
 
 def test_model_update_without_downtime_with_old_reports(tmp_path):
-    """A gateway refused requests for a loaded model that it did not know about yet."""
+    """A gateway used to refuse requests for a model whose load was not reported yet."""
 
     async def async_scenario():
         async with async_deploy(tmp_path) as deployment:
@@ -188,10 +188,10 @@
             await deployment.async_until(async_is_migrated)
             answered = probe.answered
 
-            async def async_is_served_after_it():
+            async def async_is_served_after_update():
                 return probe.answered > answered + 100
 
-            await deployment.async_until(async_is_served_after_it)
+            await deployment.async_until(async_is_served_after_update)
             await probe.async_stop()
             assert probe.failures == []
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -84,9 +84,9 @@
     async def async_test():
         async with aiohttp.ClientSession() as session:
             settings = PlatformSection(url="http://127.0.0.1:1", key="none")
-            caller = PlatformServiceClient(session, settings, "store")
-            before_s = caller.breaker._clock()
+            client = PlatformServiceClient(session, settings, "store")
+            before_s = client.breaker._clock()
             suspend()
-            assert caller.breaker._clock() - before_s >= SUSPENDED_S
+            assert client.breaker._clock() - before_s >= SUSPENDED_S
 
     asyncio.run(async_test())
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -27,11 +27,11 @@
     assert 0 < len(data) <= 1 << 20
     with handler:
         log.record("after")
-    dropped = os.read(reader, MAX_BUFFERED_BYTES * 2)
+    output = os.read(reader, MAX_BUFFERED_BYTES * 2)
     with handler:
         log.record("last")
-    dropped += os.read(reader, MAX_BUFFERED_BYTES * 2)
-    assert b"event=log_lines_dropped" in dropped
+    output += os.read(reader, MAX_BUFFERED_BYTES * 2)
+    assert b"event=log_lines_dropped" in output
     os.close(reader)
     os.close(writer)
 
