--- a/chutelink/customers/buckets.py
+++ b/chutelink/customers/buckets.py
@@ -1,4 +1,4 @@
-"""One daemon's share of one customer's quota. Pure.
+"""One daemon's share of one customer's quota. No I/O.
 
 All shares together form one token bucket: in any window the daemons admit at most the
 level that they had at its start plus what they gained since. This depends on no
@@ -70,7 +70,7 @@
         self.quota = quota
         self._bounds = bounds
         self.share = share
-        # The previous process may have used everything. This much was gained since.
+        # The previous process may have used everything; this was gained since.
         self._start_allowance = START_S * quota.rate_per_s
         self._start_granted = 0.0
         self._started_s = now_s
@@ -122,7 +122,10 @@
         self._grant_start()
 
     def _grant_start(self) -> None:
-        """Add this daemon's share of the start allowance to the level, only once."""
+        """Add this daemon's share of the start allowance to the level.
+
+        If the share has grown since the last call, only the difference is added.
+        """
         granted = self.share * self._start_allowance
         gained = max(0.0, granted - self._start_granted)
         self._start_granted += gained
--- a/chutelink/customers/const.py
+++ b/chutelink/customers/const.py
@@ -1,4 +1,4 @@
-"""Limits on customers' keys, and constants for sharing and lending quotas."""
+"""Limits on customers' keys, and constants for quota shares and loans."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 PEAK_COST_DECAY: Final = 0.999
 """Factor by which the largest cost seen decays per request: to half in 700 requests."""
 CAPACITY_SHARE: Final = 0.55
-"""Share of a quota's margin over the steady rate that all daemons accumulate."""
+"""Share of the margin over the steady rate that all daemons together accumulate."""
 START_SHARE: Final = 0.35
 """Share of the margin that daemons start with, unless they also started recently.
 
--- a/chutelink/customers/holders.py
+++ b/chutelink/customers/holders.py
@@ -59,7 +59,7 @@
 
     An unreachable daemon may be disconnected only from the other daemons and continue
     to serve: its share stays reserved for a while, unless it announced that it left.
-    This prevents that both halves of a partitioned fleet use the whole quota.
+    This keeps both halves of a partitioned fleet from using the whole quota.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
         self._served: dict[DaemonId, _ServingPeriod] = {}
         self._has_seen_others = False
         self.expected: int | None = None
-        """Number that would serve if all in the store were alive, None if unknown."""
+        """Daemons that would serve if all in the store were alive, None if unknown."""
 
     def update(
         self, serving: set[DaemonId], members: MemberTable, now_s: float
@@ -101,7 +101,7 @@
         return HolderView(self._own, frozenset(self._served), least)
 
     def _is_settled(self, now_s: float) -> bool:
-        """Return whether the other daemons are known, or that there are none."""
+        """Return whether other daemons are known, or known not to exist."""
         if now_s - self._started_s < SETTLE_S:
             return False
         return self._has_seen_others or self.expected == 1
--- a/chutelink/customers/keys.py
+++ b/chutelink/customers/keys.py
@@ -1,4 +1,4 @@
-"""Extraction, hashing and lookup of callers' keys. Pure."""
+"""Extraction, hashing and lookup of callers' keys. No I/O."""
 
 from __future__ import annotations
 
--- a/chutelink/customers/quotas.py
+++ b/chutelink/customers/quotas.py
@@ -78,7 +78,7 @@
     Parameters
     ----------
     core : Application
-        The owning application.
+        The daemon's shared services.
     bounds : QuotaBounds
         The margin by which all daemons together may exceed quotas.
     is_lending : bool
--- a/chutelink/customers/sharing.py
+++ b/chutelink/customers/sharing.py
@@ -1,4 +1,4 @@
-"""Updates a daemon's shares of quotas when the set of serving daemons changes."""
+"""Update a daemon's shares of quotas when the set of serving daemons changes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Parameters
     ----------
     core : Application
-        The owning application.
+        The daemon's shared services.
     bounds : QuotaBounds
         The margin by which all daemons together may exceed quotas.
     is_lending : bool
--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -29,7 +29,13 @@
 
 
 class _Health(msgspec.Struct):
-    """Recent results of one endpoint, with weights that decay over time."""
+    """Recent results of one endpoint.
+
+    The weights of successes, failures and streams decay over time; ``in_a_row`` and
+    ``unreachable`` count consecutive failures and failed connects. Until
+    ``closed_until_s`` other endpoints are preferred, and until ``away_until_s`` the
+    endpoint gets no requests.
+    """
 
     good: float = 1.0
     bad: float = 0.0
@@ -58,7 +64,10 @@
         self._rows: dict[EndpointId, _Health] = {}
 
     def note_success(self, endpoint: EndpointId, now_s: float, took_s: float) -> None:
-        """Record a complete response that took ``took_s`` from sending the request."""
+        """Record a success: a complete response, or the first event of a stream.
+
+        ``took_s`` is the time since the request was sent.
+        """
         row = self._row(endpoint, now_s)
         row.good += 1.0
         row.in_a_row = 0
--- a/chutelink/limits/const.py
+++ b/chutelink/limits/const.py
@@ -16,11 +16,11 @@
 """
 PACER_IDLE_S: Final = 60.0
 """How long the pacer of an endpoint is kept after the last request."""
-DOUBTFUL_S: Final = 3.0
-"""How long a limit diverts requests and loads to other endpoints that can serve them.
+UNCONFIRMED_AFTER_S: Final = 3.0
+"""How long after its last confirmation a limit diverts requests and loads elsewhere.
 
-After that some are sent to the endpoint again, at the rate of the limit, since only an
-answer can lift it.
+After that some requests are sent to the endpoint again, at the rate of the limit, since
+only an answer can lift it.
 """
 MAX_DELAY_S: Final = 1.0
 """Maximum time that a request waits for a permit to become valid."""
--- a/chutelink/limits/model.py
+++ b/chutelink/limits/model.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .const import DOUBTFUL_S
+from .const import UNCONFIRMED_AFTER_S
 
 
 class LimitState(msgspec.Struct):
@@ -24,9 +24,9 @@
         """Whether the endpoint announces a limit."""
         return self.rate_per_s is not None
 
-    def is_doubtful(self, now_s: float) -> bool:
+    def is_unconfirmed(self, now_s: float) -> bool:
         """Return whether no answer has confirmed the limit for some time."""
-        return self.is_limited and now_s - self.known_s > DOUBTFUL_S
+        return self.is_limited and now_s - self.known_s > UNCONFIRMED_AFTER_S
 
     def note(self, rate_per_s: float, now_s: float) -> bool:
         """Set the limit that the endpoint announced; return whether it changed."""
--- a/chutelink/limits/pacer.py
+++ b/chutelink/limits/pacer.py
@@ -1,4 +1,4 @@
-"""Pacing of the requests of all daemons to one endpoint. Pure."""
+"""Pacing of the requests of all daemons to one endpoint. No I/O."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         return max(0.0, BURST_S - self._interval_s)
 
     def reserve(self, limit_per_s: float, max_delay_s: float, now_s: float) -> Permit:
-        """Return when the next request may be sent, and reserve it if that is in time.
+        """Return the delay of the next request, and reserve its slot if in time.
 
         It is in time if the delay is at most ``max_delay_s``.
         """
--- a/chutelink/limits/permits.py
+++ b/chutelink/limits/permits.py
@@ -19,7 +19,7 @@
 
 
 class PermitManager:
-    """Grants permits for the endpoints that this daemon paces, and requests others.
+    """Grants permits for endpoints that this daemon paces, and requests all others.
 
     Each endpoint is paced by one of the serving daemons, whichever daemon its requests
     pass through. While daemons disagree on which of them serve, two daemons may pace
@@ -28,7 +28,7 @@
     Parameters
     ----------
     core : Application
-        The owning application.
+        The daemon's shared services.
     """
 
     def __init__(self, core: Application) -> None:
@@ -133,6 +133,6 @@
 
 
 def _refuse(request: PermitRequest) -> Permit:
-    """Return a refusal for the case that the time of the next permit is unknown."""
+    """Return a refusal for a case in which the time of the next permit is unknown."""
     delay_s = request.max_delay_s + PERMIT_RETRY_PAUSE_S
     return Permit(is_granted=False, delay_s=delay_s)
--- a/chutelink/placing/demand_forecast.py
+++ b/chutelink/placing/demand_forecast.py
@@ -73,8 +73,8 @@
         """Return the greater of the model's share now and after a demand shift."""
         if model not in self.upcoming:
             return self.share(model)
-        predecessor = self._order[self._order.index(model) - DEMAND_SHIFT]
-        return max(self.share(model), self.share(predecessor))
+        index = self._order.index(model) - DEMAND_SHIFT
+        return max(self.share(model), self.share(self._order[index]))
 
     def is_expected(self, model: ModelName) -> bool:
         """Return whether the model is busy or may soon be."""
--- a/chutelink/placing/overload.py
+++ b/chutelink/placing/overload.py
@@ -41,7 +41,7 @@
     fit here again as soon as it is loaded elsewhere.
     """
     limit = site.endpoint.limit
-    if not limit.is_limited or limit.is_doubtful(now_s):
+    if not limit.is_limited or limit.is_unconfirmed(now_s):
         return frozenset()
     left_per_s = limit.rate_per_s
     overloaded = set()
--- a/chutelink/relaying/backpressure.py
+++ b/chutelink/relaying/backpressure.py
@@ -23,7 +23,7 @@
     Parameters
     ----------
     core : Application
-        The application that owns this object.
+        The daemon's shared services.
     table : EndpointTable
         The endpoints.
     permits : PermitManager
@@ -56,7 +56,7 @@
         preferred = [
             row
             for row in rows
-            if not row.limit.is_limited or row.limit.is_doubtful(now_s)
+            if not row.limit.is_limited or row.limit.is_unconfirmed(now_s)
         ]
         return preferred or rows
 
--- a/chutelink/relaying/exchange.py
+++ b/chutelink/relaying/exchange.py
@@ -16,7 +16,7 @@
 
 LEAST_URGENT_STEP = 9
 OBJECTIVE_S_PER_URGENCY_STEP = 1.5
-"""Difference between objectives that makes one step of urgency."""
+"""Difference in objective that lowers the urgency by one step."""
 
 
 class Exchange(msgspec.Struct, eq=False):
@@ -96,7 +96,7 @@
 def urgency_of(exchange: Exchange) -> int | None:
     """Return the urgency for the endpoint, 0 the most urgent; None without an engine.
 
-    Ordered by priority, then by the objective.
+    It combines the priority, which counts two steps, and the objective.
     """
     if exchange.service.engine is None:
         return None
--- a/chutelink/relaying/exchange_dispatcher.py
+++ b/chutelink/relaying/exchange_dispatcher.py
@@ -44,13 +44,13 @@
     Parameters
     ----------
     core : Application
-        The application that owns this object.
+        The daemon's shared services.
     header_codec : HeaderCodec
         Decodes and encodes headers.
     table, health, prefixes, speeds, durations, prefill_table, pending, loads
         State of endpoints, and updates for other daemons.
     retry_budget : RetryBudgetShare
-        Limits reruns after failures.
+        Limits retries.
     policy : RoutingPolicy
         Chooses among the eligible endpoints.
     quarantine : Quarantine
@@ -100,7 +100,7 @@
         self.knowledge: Callable[[], TableFreshness | None] = lambda: None
 
     def stop_waiting(self) -> None:
-        """Refuse requests that wait for a model, also later ones; used on shutdown."""
+        """Refuse requests that wait for a model now or later; used on shutdown."""
         self.is_stopping = self._model_waiter.is_stopping = True
         self.pending.signal()
 
--- a/chutelink/relaying/model_waiter.py
+++ b/chutelink/relaying/model_waiter.py
@@ -26,7 +26,7 @@
     Parameters
     ----------
     core : Application
-        The application that owns this object.
+        The daemon's shared services.
     table : EndpointTable
         The endpoints.
     speeds : SpeedTable
@@ -109,7 +109,7 @@
             copy_load_s=0.0 if is_base_model_loaded else spec.disk_load_s,
             cold_load_s=0.0 if is_base_model_loaded else spec.cold_load_s,
             ready_s=self._pending.ready_s(meta.model, meta.adapter, now_s),
-            is_held_off=self._has_unavailable_copy(exchange),
+            is_held_off=self._has_unavailable_replica(exchange),
         )
 
     def _make_refusal(self, exchange: Exchange, wait: ModelWait) -> Refusal:
@@ -118,7 +118,7 @@
         reason = "is being loaded" if is_loading else "is not loaded"
         return unavailable(f"the {missing} {reason}", model_retry_delay_s(wait))
 
-    def _has_unavailable_copy(self, exchange: Exchange) -> bool:
+    def _has_unavailable_replica(self, exchange: Exchange) -> bool:
         """Return whether an endpoint with the model and adapter accepts nothing now."""
         meta = exchange.meta
         now_s = self._core.clock()
@@ -130,7 +130,10 @@
         )
 
     def _is_base_model_loaded(self, exchange: Exchange) -> bool:
-        """Return whether only the adapter may be missing; it loads within some ms."""
+        """Return whether an endpoint has the model, so only the adapter is missing.
+
+        An adapter loads within some ms.
+        """
         now_s = self._core.clock()
         rows = self._table.of_service(exchange.service.name, now_s)
         return any(row.holds(exchange.meta.model) for row in rows)
--- a/chutelink/relaying/request_log.py
+++ b/chutelink/relaying/request_log.py
@@ -11,7 +11,7 @@
 from .exchange import Exchange
 
 MAX_SUCCESS_LINES_PER_S = 5.0
-"""Rate limit of lines for successful requests; all others are logged."""
+"""Rate limit of lines for successful requests and for those over a quota."""
 SUCCESS_LINE_BURST = 20.0
 FIRST_ERROR_STATUS = 400
 ANSWERED = "answered"
@@ -26,12 +26,12 @@
 
 
 class RequestLog:
-    """Logs every failed or late request, and a limited rate of successful ones.
+    """Logs failed and late requests, and a limited rate of all others.
 
     Parameters
     ----------
     core : Application
-        The application that owns this object.
+        The daemon's shared services.
     """
 
     def __init__(self, core: Application) -> None:
@@ -50,8 +50,8 @@
     ) -> None:
         """Count a completed request, and log it.
 
-        Requests over a quota share the line rate limit of successful requests: a
-        customer may exceed its limit many times over for an unlimited time.
+        Requests over a quota share the rate limit of lines for successful requests: a
+        customer may exceed its quota many times over for an unlimited time.
         """
         now_s = self._core.clock()
         took_s = now_s - started_s
--- a/chutelink/relaying/retry_budget.py
+++ b/chutelink/relaying/retry_budget.py
@@ -7,7 +7,7 @@
 from ..ids import ServiceName
 
 BUDGET_SAFETY_FACTOR = 0.8
-"""Share of the bound that is used: requests are not spread evenly over daemons."""
+"""Share of the budget that is used, as requests are spread unevenly over daemons."""
 
 
 class _SlidingWindowCounter:
@@ -43,7 +43,7 @@
         self._slack = slack
         self._window_s = window_s
         self._requests: dict[ServiceName, _SlidingWindowCounter] = {}
-        self._repeats: dict[ServiceName, _SlidingWindowCounter] = {}
+        self._retries: dict[ServiceName, _SlidingWindowCounter] = {}
         self.daemons = 1
 
     def note_request(self, service: ServiceName, now_s: float) -> None:
@@ -53,10 +53,10 @@
     def take(self, service: ServiceName, now_s: float) -> bool:
         """Take one retry from the budget; return whether one was left."""
         requests = self._requests.setdefault(service, _SlidingWindowCounter())
-        repeats = self._repeats.setdefault(service, _SlidingWindowCounter())
+        retries = self._retries.setdefault(service, _SlidingWindowCounter())
         allowed = self._ratio * requests.count(now_s, self._window_s)
         allowed += self._slack / max(1, self.daemons)
-        if repeats.count(now_s, self._window_s) + 1 > BUDGET_SAFETY_FACTOR * allowed:
+        if retries.count(now_s, self._window_s) + 1 > BUDGET_SAFETY_FACTOR * allowed:
             return False
-        repeats.add(now_s)
+        retries.add(now_s)
         return True
--- a/chutelink/relaying/routing.py
+++ b/chutelink/relaying/routing.py
@@ -14,9 +14,9 @@
 from ..learning.speeds import SpeedTable
 
 CROSS_DOMAIN_COST_S = 0.003
-"""Cost of crossing failure domains: a round trip, and the traffic is billed."""
+"""Cost of crossing failure domains, for the round trip and the billed traffic."""
 DEFAULT_OBJECTIVE_S = 1.0
-"""Used for requests without an objective."""
+"""Assumed for requests without an objective."""
 
 
 class RoutingRequest(msgspec.Struct, frozen=True):
--- a/chutelink/relaying/signals.py
+++ b/chutelink/relaying/signals.py
@@ -21,7 +21,7 @@
     Parameters
     ----------
     core : Application
-        The application that owns this object.
+        The daemon's shared services.
     header_codec : HeaderCodec
         Decodes headers.
     table : EndpointTable
--- a/chutelink/relaying/stream.py
+++ b/chutelink/relaying/stream.py
@@ -1,4 +1,4 @@
-"""Relay streams event by event, resuming at another endpoint where allowed."""
+"""Relay streams event by event; resume at another endpoint where allowed."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     Parameters
     ----------
     core : Application
-        The application that owns this object.
+        The daemon's shared services.
     dispatcher : ExchangeDispatcher
         Endpoint selection and its tables.
     upstream : Upstream
--- a/chutelink/relaying/upstream.py
+++ b/chutelink/relaying/upstream.py
@@ -47,13 +47,13 @@
 _CONNECTION_TRACKER: ContextVar[_ConnectionTracker | None] = ContextVar(
     "opening", default=None
 )
-"""Set by the connector for the call of the current task."""
+"""The tracker of the current task's call, which the connector updates."""
 
 
 class _StrictResponseHandler(ResponseHandler):
     """Treats a body that ends with a connection reset as incomplete.
 
-    The library takes a body without a length as complete however its connection
+    The library treats a body without a length as complete, however its connection
     ends.
     """
 
--- a/tests/customers/__init__.py
+++ b/tests/customers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests for chutelink.customers."""
+"""Tests of chutelink.customers."""
--- a/tests/customers/test_buckets.py
+++ b/tests/customers/test_buckets.py
@@ -103,7 +103,7 @@
 
 
 def test_very_small_requests_do_not_wait_for_large_ones():
-    """A request of 200 tokens was refused at the limit, with a level of 11,597."""
+    """At the limit, a request of 200 tokens was refused with a level of 11,597."""
     bucket = make_bucket()
     for cost in (500, 10_000):
         bucket.take(cost, 0.0)
--- a/tests/learning/test_prefill.py
+++ b/tests/learning/test_prefill.py
@@ -68,8 +68,8 @@
             harness.configure(routes=make_routes(400))
             first = await harness.async_add("i-1", "llm", {"m0": []})
             second = await harness.async_add("i-2", "llm", {"m0": []})
-            harness.known.endpoints.rows["i-2"].other_requests = 2
-            harness.known.prefill_table.note("i-1", 5.0, harness.core.clock())
+            harness.state.endpoints.rows["i-2"].other_requests = 2
+            harness.state.prefill_table.note("i-1", 5.0, harness.core.clock())
             async with harness.request("/stream/x", **headers()) as answer:
                 assert await answer.read() == expected()
             assert (len(first.runs), len(second.runs)) == (0, 1)
@@ -82,7 +82,7 @@
         async with async_relay_harness() as harness:
             harness.configure(routes=make_routes(60_000))
             await harness.async_add("i-1", "llm", {"m0": []})
-            harness.known.prefill_table.note("i-1", 50.0, harness.core.clock())
+            harness.state.prefill_table.note("i-1", 50.0, harness.core.clock())
             async with harness.request("/stream/x", **headers()) as answer:
                 assert await answer.read() == expected()
 
--- a/tests/limits/__init__.py
+++ b/tests/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests for chutelink.limits."""
+"""Tests of chutelink.limits."""
--- a/tests/placing/test_overload.py
+++ b/tests/placing/test_overload.py
@@ -6,7 +6,7 @@
 
 from chutelink.entry.demand import DemandTable
 from chutelink.entry.messages import ModelUsage
-from chutelink.limits.const import DOUBTFUL_S
+from chutelink.limits.const import UNCONFIRMED_AFTER_S
 from chutelink.placing.overload import mark_overloaded
 
 from .placer_harness import ENDPOINT_ID, PlacerHarness, ScriptedEngine, run, skip_pauses
@@ -60,7 +60,7 @@
 def test_limit_is_ignored_when_it_was_not_confirmed_for_long():
     """Otherwise an endpoint without requests would keep its limit forever."""
     sites = [make_limited("i-1", {"m0": []}, 1.0), make_site("i-2", {"m1": []})]
-    later_s = 100.0 + DOUBTFUL_S + 0.1
+    later_s = 100.0 + UNCONFIRMED_AFTER_S + 0.1
     marked = mark_overloaded(sites, make_demand("m0"), later_s)
     assert [set(site.overloaded) for site in marked] == [set(), set()]
 
--- a/tests/relaying/relay_harness.py
+++ b/tests/relaying/relay_harness.py
@@ -49,7 +49,7 @@
             id="d1", failure_domain="zone-a", peer_key="key"
         )
         self.quarantine = Quarantine(self.core)
-        self.known = EntryState(self.core, PreparedMachinesAdapter(), self.quarantine)
+        self.state = EntryState(self.core, PreparedMachinesAdapter(), self.quarantine)
         self.pending = PendingTable()
         self.loads = LoadTracker()
         self.retry_budget = RetryBudgetShare(0.2, 50, 10.0)
@@ -58,24 +58,24 @@
         self.quotas.update_holder_view(HolderView(own, frozenset({own})))
         self.config_knowledge = TableFreshness(1, 0.0)
         self.customers = CustomerAccess(self.quotas, lambda: self.config_knowledge, 2.0)
-        self.known.on_config = self._apply_config
+        self.state.on_config = self._apply_config
         self.upstream = Upstream()
         self.session = aiohttp.ClientSession()
         self.url = ""
         self._server: asyncio.Server | None = None
 
     async def async_start(self) -> None:
-        known = self.known
-        policy = LeastLoss(known.health, known.prefixes, known.speeds, known.durations)
+        state = self.state
+        policy = LeastLoss(state.health, state.prefixes, state.speeds, state.durations)
         dispatcher = ExchangeDispatcher(
             self.core,
             PreparedMachinesAdapter().make_header_codec(),
-            known.endpoints,
-            known.health,
-            known.prefixes,
-            known.speeds,
-            known.durations,
-            known.prefill_table,
+            state.endpoints,
+            state.health,
+            state.prefixes,
+            state.speeds,
+            state.durations,
+            state.prefill_table,
             self.pending,
             self.loads,
             self.retry_budget,
@@ -95,8 +95,8 @@
             relay,
             streams,
             self.customers,
-            lambda: known.routes,
-            lambda: known.routes is not None,
+            lambda: state.routes,
+            lambda: state.routes is not None,
         )
         server = web.Server(
             self.http.async_handle, handler_cancellation=True, auto_decompress=False
@@ -117,18 +117,18 @@
     def register(self, endpoint: EndpointStandin) -> None:
         """Pass an endpoint's current registration to the daemon."""
         key = f"endpoints/{endpoint.name}"
-        self.known.apply_row(RowChange(key, endpoint.registration()))
+        self.state.apply_row(RowChange(key, endpoint.registration()))
 
     def configure(self, version: int = 1, **changes: object) -> None:
         config = make_config(version, SERVICES, **changes)
         kept = PreparedMachinesAdapter().compact_row("config/config", config)
-        self.known.apply_row(RowChange("config/config", kept))
+        self.state.apply_row(RowChange("config/config", kept))
 
     def _apply_config(self) -> None:
-        self.quotas.sync(self.known.routes.config.customers or {})
+        self.quotas.sync(self.state.routes.config.customers or {})
 
     def route_table(self) -> RouteTable:
-        return self.known.routes
+        return self.state.routes
 
     def request(
         self, path: str, request_id: str = "q1", body: bytes = b"body", **headers: str
--- a/tests/relaying/test_crashing_requests.py
+++ b/tests/relaying/test_crashing_requests.py
@@ -3,9 +3,9 @@
 Guards against such a request crashing one endpoint after the other. One caller repeated
 a streaming request, each time with a new id and through another daemon: 14 engines
 crashed within 11 s, with all their other streams, and some models had no endpoint left.
-Failures were counted by endpoint and never by request, so each retry and each repeated
-request, whose id was unknown, went to a further engine, also to those that the placer
-had load the model instead.
+Failures were counted by endpoint and never by request, so each retry, and each repeated
+request with its new id, went to a further engine. The placer loaded the model on other
+engines, which then received the request too.
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
         async with async_relay_harness() as harness:
             harness.configure()
             endpoint = await harness.async_add("i-1", "plain")
-            row = harness.known.endpoints.rows["i-1"]
+            row = harness.state.endpoints.rows["i-1"]
             exchange = SimpleNamespace(
                 fingerprint="f", method="GET", host="a", target="/x"
             )
--- a/tests/relaying/test_customers.py
+++ b/tests/relaying/test_customers.py
@@ -198,7 +198,8 @@
                 for n in range(4)
             ]
             statuses = [status for status, _, _ in answers]
-            # 9,900 are allowed in 8 s: 8,000 from the refill, 1,710 in the bucket.
+            # 9,900 are allowed in 8 s, of which 8,000 are gained. The bucket holds 0.55
+            # of the rest, 1,045, which suffices for one request.
             assert statuses == [200, 429, 429, 429]
             assert len(plain.runs) == 1
             retry_delays_s = [
--- a/tests/relaying/test_leaving_notices.py
+++ b/tests/relaying/test_leaving_notices.py
@@ -31,11 +31,11 @@
 def expire_registration(harness, name: str) -> None:
     """Let a registration lapse while the store is unavailable."""
     until_s = harness.core.clock() + 60.0
-    harness.known.apply_row(RowChange(f"endpoints/{name}", None, back_until_s=until_s))
+    harness.state.apply_row(RowChange(f"endpoints/{name}", None, back_until_s=until_s))
 
 
 def remove_registration(harness, name: str) -> None:
-    harness.known.apply_row(RowChange(f"endpoints/{name}", None))
+    harness.state.apply_row(RowChange(f"endpoints/{name}", None))
 
 
 @pytest.mark.parametrize("route", ROUTES)
@@ -94,15 +94,15 @@
             harness.configure()
             await async_add_leaving(harness, "plain", None)
             await async_send(harness, "/once/x", 1)
-            update = harness.loads.take("d1", harness.known.endpoints, [])
+            update = harness.loads.take("d1", harness.state.endpoints, [])
             announced = decode_entry_message(encode_entry_message(update), "d1").leaving
             assert announced == [LeavingEndpoint("i-1", 0)]
-            next_update = harness.loads.take("d1", harness.known.endpoints, [])
+            next_update = harness.loads.take("d1", harness.state.endpoints, [])
             assert next_update is None or not next_update.leaving
         async with async_relay_harness() as other:
             other.configure()
             endpoint = await async_add_leaving(other, "plain", None)
-            other.known.endpoints.note_leaving(
+            other.state.endpoints.note_leaving(
                 announced[0].endpoint, announced[0].born_ms
             )
             assert await async_send(other, "/once/x", 1) == [503]
--- a/tests/relaying/test_limits.py
+++ b/tests/relaying/test_limits.py
@@ -80,7 +80,7 @@
             limited = await harness.async_add("i-1", "plain")
             other = await harness.async_add("i-2", "plain")
             update = EndpointLimit("i-1", 0, 1.0)
-            harness.known.endpoints.update_limit(update, harness.core.clock())
+            harness.state.endpoints.update_limit(update, harness.core.clock())
             assert set(await async_send(harness, "/once/x", 10)) == {200}
             assert not limited.runs and len(other.runs) == 10
 
@@ -157,12 +157,12 @@
             harness.configure()
             limited = await async_add_limited(harness, "i-1", "plain", None, 20.0)
             await async_send(harness, "/once/x", 1)
-            update = harness.loads.take("d1", harness.known.endpoints, [])
+            update = harness.loads.take("d1", harness.state.endpoints, [])
             announced = decode_entry_message(encode_entry_message(update), "d1").limits
             assert announced == [EndpointLimit("i-1", 0, 20.0)]
             limited.faults = type(limited.faults)()
             await async_send(harness, "/once/x", 1, first=1)
-            update = harness.loads.take("d1", harness.known.endpoints, [])
+            update = harness.loads.take("d1", harness.state.endpoints, [])
             assert update.limits == [EndpointLimit("i-1", 0, None)]
 
     asyncio.run(async_test())
@@ -170,7 +170,7 @@
 
 def test_endpoint_whose_limit_was_lifted_unnoticed_is_used_again(monkeypatch):
     """While other endpoints serve all requests, no response announces the change."""
-    monkeypatch.setattr(model, "DOUBTFUL_S", 0.2)
+    monkeypatch.setattr(model, "UNCONFIRMED_AFTER_S", 0.2)
 
     async def async_test():
         async with async_relay_harness() as harness:
--- a/tests/relaying/test_signals.py
+++ b/tests/relaying/test_signals.py
@@ -16,7 +16,7 @@
 
 
 class SignalsFixture:
-    """Feeds responses of one endpoint to a signal reader."""
+    """Passes responses of one endpoint to a signal reader."""
 
     def __init__(self):
         self.core = make_core()
@@ -35,7 +35,7 @@
     def row(self):
         return self.table.rows["i-1"]
 
-    def take(self, sent_s, status=200, row=None, **named):
+    def receive(self, sent_s, status=200, row=None, **named):
         values = {name.replace("_", "-"): value for name, value in named.items()}
         headers = CIMultiDictProxy(CIMultiDict(SEALED | values))
         exchange = make_exchange("q1")
@@ -48,59 +48,59 @@
 
 
 def test_limit_is_taken_from_response_header(responses):
-    responses.take(99.9, Server_Limit="1.5")
+    responses.receive(99.9, Server_Limit="1.5")
     assert responses.row.limit.rate_per_s == 1.5
 
 
 def test_response_without_limit_lifts_limit(responses):
-    responses.take(99.9, Server_Limit="1.5")
-    responses.take(100.1)
+    responses.receive(99.9, Server_Limit="1.5")
+    responses.receive(100.1)
     assert responses.row.limit.rate_per_s is None
 
 
 def test_response_to_earlier_request_does_not_lift_limit(responses):
     """Both were in flight when the endpoint began to send its limit."""
-    responses.take(99.9, Server_Limit="1.5")
-    responses.take(99.8)
+    responses.receive(99.9, Server_Limit="1.5")
+    responses.receive(99.8)
     assert responses.row.limit.rate_per_s == 1.5
 
 
 @pytest.mark.parametrize("status", [404, 421, 500, 503])
 def test_only_success_lifts_limit(responses, status):
     """A 421 may be from another endpoint at a reused address."""
-    responses.take(99.9, Server_Limit="1.5")
-    responses.take(100.1, status=status)
+    responses.receive(99.9, Server_Limit="1.5")
+    responses.receive(100.1, status=status)
     assert responses.row.limit.rate_per_s == 1.5
 
 
 def test_restarted_endpoint_has_no_limit(responses):
     former = responses.row
-    responses.take(99.9, Server_Limit="1.5")
+    responses.receive(99.9, Server_Limit="1.5")
     responses.put(born_ms=2)
     assert responses.row.limit.rate_per_s is None
-    responses.take(99.9, row=former, Server_Limit="2")
+    responses.receive(99.9, row=former, Server_Limit="2")
     assert responses.row.limit.rate_per_s is None
 
 
 def test_invalid_limit_header_changes_nothing(responses):
-    responses.take(99.9, Server_Limit="1.5")
-    responses.take(100.1, Server_Limit="soon")
+    responses.receive(99.9, Server_Limit="1.5")
+    responses.receive(100.1, Server_Limit="soon")
     assert responses.row.limit.rate_per_s == 1.5
 
 
 @pytest.mark.parametrize("status", [200, 421, 500, 503])
 def test_leaving_header_is_accepted_with_any_status(responses, status):
-    responses.take(99.9, status=status, Server_Leaving="1")
+    responses.receive(99.9, status=status, Server_Leaving="1")
     assert responses.row.is_leaving
 
 
 def test_shorter_pause_does_not_end_longer_one(responses):
-    responses.take(99.9, status=503, Retry_After="3")
-    responses.take(99.9, status=503, Retry_After="0.5")
+    responses.receive(99.9, status=503, Retry_After="3")
+    responses.receive(99.9, status=503, Retry_After="0.5")
     assert responses.row.paused_until_s == 103.0
 
 
 def test_success_does_not_end_pause(responses):
-    responses.take(99.9, status=503, Retry_After="3")
-    responses.take(100.1)
+    responses.receive(99.9, status=503, Retry_After="3")
+    responses.receive(100.1)
     assert responses.row.paused_until_s == 103.0
--- a/tests/relaying/test_stream.py
+++ b/tests/relaying/test_stream.py
@@ -151,7 +151,7 @@
                 async with harness.request("/stream/x", f"q{number}", **sent) as answer:
                     assert answer.status == 200
             assert len(second.runs) == 4
-            assert harness.known.health.unreachable(harness.core.clock()) == ["i-1"]
+            assert harness.state.health.unreachable(harness.core.clock()) == ["i-1"]
 
     asyncio.run(async_test())
 
@@ -161,11 +161,11 @@
         async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
-            harness.known.endpoints.rows["i-1"].other_reading_s = 2.6
+            harness.state.endpoints.rows["i-1"].other_reading_s = 2.6
             async with harness.request("/stream/x", **headers()) as answer:
                 assert answer.status == 503
                 assert 0.1 < float(answer.headers["Retry-After"]) <= 1.0
-            harness.known.endpoints.rows["i-1"].other_reading_s = 0.5
+            harness.state.endpoints.rows["i-1"].other_reading_s = 0.5
             async with harness.request("/stream/x", "q2", **headers()) as answer:
                 assert answer.status == 200
 
@@ -177,15 +177,15 @@
         async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
-            held = harness.known.endpoints.rows["i-1"].models.pop("m0")
+            held = harness.state.endpoints.rows["i-1"].models.pop("m0")
             request = harness.request("/stream/x", **headers())
-            early = asyncio.ensure_future(async_status(request))
+            task = asyncio.ensure_future(async_status(request))
             # Longer than other requests wait for an announcement: 0.2 s.
             await asyncio.sleep(0.4)
-            assert not early.done()
-            harness.known.endpoints.rows["i-1"].models["m0"] = held
+            assert not task.done()
+            harness.state.endpoints.rows["i-1"].models["m0"] = held
             harness.pending.signal()
-            assert await early == 200
+            assert await task == 200
 
     async def async_status(request) -> int:
         async with request as answer:
@@ -253,7 +253,7 @@
         async with async_relay_harness() as harness:
             harness.configure()
             await harness.async_add("i-1", "llm", {"m0": []})
-            harness.known.durations.note("m0", 2.0)
+            harness.state.durations.note("m0", 2.0)
             harness.http.set_shutdown_deadline(harness.core.clock() + 2.0)
             async with harness.request("/stream/x", **headers()) as answer:
                 assert answer.status == 503
--- a/tests/relaying/test_waiting.py
+++ b/tests/relaying/test_waiting.py
@@ -91,7 +91,7 @@
     assert until_s > 100.0
 
 
-def test_request_with_unavailable_copy_waits_for_announcement_only():
+def test_request_with_unavailable_replica_waits_for_announcement_only():
     wait = replace(PATIENT, is_held_off=True)
     assert wait_until_s(wait) == pytest.approx(100.0 + 5.0 / 8)
     assert wait_until_s(replace(wait, ready_s=100.4)) == 105.0
