--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -25,7 +25,7 @@
 """Prior count of streams without long pauses, credited to every endpoint."""
 TYPICAL_SMOOTHING = 0.1
 DEFAULT_TYPICAL_S = 0.05
-"""Assumed until an endpoint has answered: typical of a service without models."""
+"""Assumed until an endpoint has responded; typical of a service without models."""
 
 
 class _Health(msgspec.Struct):
@@ -141,7 +141,7 @@
         return row.bad / (row.good + row.bad)
 
     def typical_s(self, endpoint: EndpointId) -> float:
-        """Return how long an endpoint typically takes to answer."""
+        """Return how long an endpoint typically takes to respond."""
         row = self._rows.get(endpoint)
         return DEFAULT_TYPICAL_S if row is None else row.typical_s
 
--- a/chutelink/limits/model.py
+++ b/chutelink/limits/model.py
@@ -25,7 +25,7 @@
         return self.rate_per_s is not None
 
     def is_unconfirmed(self, now_s: float) -> bool:
-        """Return whether no answer has confirmed the limit for some time."""
+        """Return whether no response has confirmed the limit for some time."""
         return self.is_limited and now_s - self.known_s > UNCONFIRMED_AFTER_S
 
     def note(self, rate_per_s: float, now_s: float) -> bool:
@@ -36,10 +36,10 @@
         return is_changed
 
     def note_unlimited(self, sent_s: float) -> bool:
-        """Handle an answer without a limit; return whether this lifts the limit.
+        """Handle a response without a limit; return whether this lifts the limit.
 
-        Only the answer to a request that was sent after the limit was received lifts
-        it: an earlier answer may have been written before the limit was announced.
+        Only the response to a request that was sent after the limit arrived lifts
+        it: an earlier response may have been written before the limit was announced.
         """
         if not self.is_limited or sent_s <= self.known_s:
             return False
--- a/chutelink/placing/demand_forecast.py
+++ b/chutelink/placing/demand_forecast.py
@@ -24,6 +24,9 @@
 class DemandForecast:
     """Current demand, and demand as it would be after a shift along the model order.
 
+    ``busy`` lists the models that are busy now, ``upcoming`` contains the demand of
+    models after such a shift.
+
     Parameters
     ----------
     order : list of ModelName
--- a/chutelink/placing/inventory.py
+++ b/chutelink/placing/inventory.py
@@ -101,6 +101,10 @@
 class Inventory:
     """What an endpoint holds after the orders that it is known to have accepted.
 
+    ``is_changing`` is set while the placer executes a change or fetches a report there,
+    ``is_busy`` while the endpoint executes an order, and ``is_down`` after a report
+    failed. After a failure, the endpoint is left alone until ``retry_after_s``.
+
     Parameters
     ----------
     endpoint : EndpointId
--- a/chutelink/relaying/relay.py
+++ b/chutelink/relaying/relay.py
@@ -64,16 +64,16 @@
             row = await self.async_next_endpoint(exchange, last)
             if row is None:
                 return last
-            result, answer = await self._async_attempt(exchange, row)
+            result, response = await self._async_attempt(exchange, row)
             if result is AttemptResult.ANSWERED:
                 if (
-                    answer.status < FIRST_SERVER_ERROR_STATUS
+                    response.status < FIRST_SERVER_ERROR_STATUS
                     or not exchange.is_repeatable
                 ):
-                    return answer
-                last = answer
+                    return response
+                last = response
             if not self._can_retry(exchange, result):
-                return self._final_answer(exchange, last)
+                return self._final_response(exchange, last)
 
     async def async_next_endpoint(
         self, exchange: Exchange, last: BufferedResponse | None
@@ -88,7 +88,7 @@
                 raise unknown_outcome(refusal.title) from refusal
             raise
 
-    def _final_answer(
+    def _final_response(
         self, exchange: Exchange, last: BufferedResponse | None
     ) -> BufferedResponse:
         """Return the response to forward, or raise the refusal."""
@@ -113,7 +113,7 @@
         try:
             with self.track_in_flight(exchange, row):
                 limit_s = self._attempt_timeout_s(exchange, sent_s)
-                answer = await self._upstream.async_exchange(row, call, limit_s)
+                response = await self._upstream.async_exchange(row, call, limit_s)
         except EndpointUnreachable as error:
             self.note_failure(exchange, row, AttemptResult.UNREACHABLE, error)
             return AttemptResult.UNREACHABLE, None
@@ -123,29 +123,35 @@
             await self.async_note_broken(exchange, row, error, sent_s)
             return AttemptResult.FAILED, None
         self._dispatcher.signals.note(
-            exchange, row, answer.status, answer.headers, sent_s
+            exchange, row, response.status, response.headers, sent_s
         )
-        return self.classify_answer(exchange, row, answer, clock() - sent_s), answer
+        return self.classify_response(
+            exchange, row, response, clock() - sent_s
+        ), response
 
-    def classify_answer(
-        self, exchange: Exchange, row: Endpoint, answer: BufferedResponse, took_s: float
+    def classify_response(
+        self,
+        exchange: Exchange,
+        row: Endpoint,
+        response: BufferedResponse,
+        took_s: float,
     ) -> AttemptResult:
         """Classify a response and update the endpoint's health."""
         kind = self._dispatcher.header_codec.classify(
-            answer.status, answer.headers, exchange.meta.id
+            response.status, response.headers, exchange.meta.id
         )
         if kind is AnswerKind.NOT_RUN:
-            self.note_not_run(exchange, row, answer.status)
+            self.note_not_run(exchange, row, response.status)
             return AttemptResult.NOT_RUN
         exchange.may_have_run = True
         endpoint = row.record.id
         error = EndpointFailed(
-            f"status {answer.status} {kind.value}", step="answer", peer=endpoint
+            f"status {response.status} {kind.value}", step="answer", peer=endpoint
         )
         if kind is AnswerKind.FOREIGN:
             self.note_failure(exchange, row, AttemptResult.FAILED, error)
             return AttemptResult.FAILED
-        if answer.status >= FIRST_SERVER_ERROR_STATUS:
+        if response.status >= FIRST_SERVER_ERROR_STATUS:
             self.note_failure(exchange, row, AttemptResult.ANSWERED, error)
         else:
             now_s = self._dispatcher.core.clock()
--- a/chutelink/relaying/stream.py
+++ b/chutelink/relaying/stream.py
@@ -94,13 +94,13 @@
                 raise
             if row is None:
                 return last
-            result, answer = await self._async_attempt(exchange, row, caller)
+            result, buffered = await self._async_attempt(exchange, row, caller)
             if result is AttemptResult.ANSWERED:
-                if answer is None:
+                if buffered is None:
                     return await caller.async_finish()
-                if answer.status < 500 or not exchange.is_repeatable:
-                    return answer if not caller.has_sent_headers else caller.abort()
-                last = None if caller.has_sent_headers else answer
+                if buffered.status < 500 or not exchange.is_repeatable:
+                    return buffered if not caller.has_sent_headers else caller.abort()
+                last = None if caller.has_sent_headers else buffered
             if not self._can_retry(exchange):
                 return self._finish_failed(exchange, caller, last)
 
@@ -220,13 +220,13 @@
             or response.status >= FIRST_NON_SUCCESS_STATUS
         ):
             body = b"" if kind is AnswerKind.FOREIGN else await response.read()
-            answer = BufferedResponse(response.status, response.headers, body)
+            buffered = BufferedResponse(response.status, response.headers, body)
             took_s = self._stream_relay._core.clock() - sent_s
             if kind is AnswerKind.FOREIGN:
                 response.close()
-            return self._stream_relay._relay.classify_answer(
-                exchange, row, answer, took_s
-            ), answer
+            return self._stream_relay._relay.classify_response(
+                exchange, row, buffered, took_s
+            ), buffered
         await self._async_forward_events(response, sent_s)
         self._stream_relay._relay.note_completed_run(exchange)
         self._note_duration()
--- a/tests/limits/test_pacer.py
+++ b/tests/limits/test_pacer.py
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("limit_per_s", [0.0, MIN_LIMIT_PER_S / 2])
 def test_limit_below_the_minimum_still_allows_some_requests(limit_per_s):
-    """Otherwise the limit would stay forever, since only an answer can lift it."""
+    """Otherwise the limit would stay forever, since only a response can lift it."""
     pacer = Pacer(limit_per_s, 100.0)
     times_s = sends_s(pacer, limit_per_s, [(0.1, 0.0)] * 1000)
     assert len(times_s) == 100 * MIN_LIMIT_PER_S - 1
