--- a/chutelink/customers/const.py
+++ b/chutelink/customers/const.py
@@ -25,7 +25,7 @@
 
 While a fleet starts, the daemons that are found first serve for some tenths of a
 second. With all of their shares reserved, 8 serving daemons of 60 held a sixteenth
-each, and daemons that served nobody held the rest.
+each, and daemons that served no callers held the rest.
 """
 HOLDER_RETENTION_S: Final = 60.0
 """How long the share of an unreachable daemon stays reserved.
--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -118,8 +118,8 @@
     def unreachable(self, now_s: float) -> list[EndpointId]:
         """Return the endpoints in a backoff after a failed connect.
 
-        Daemons that are told of such an endpoint request a report from it, which is
-        charged for. An endpoint that is no longer tried is therefore not listed again.
+        The placer requests a report from each of them, which is charged for. An
+        endpoint that is no longer tried is therefore not listed again.
         """
         return [
             name
--- a/chutelink/relaying/routing.py
+++ b/chutelink/relaying/routing.py
@@ -76,8 +76,8 @@
     The loss of a request covers a late first byte, a failure and pauses in its
     stream. The more requests an endpoint has in flight, the more streams pause: the
     new one and those already there. Counting both avoids sending all requests to the
-    one endpoint that has not paused lately, while others with the same model have
-    free slots.
+    one endpoint without recent pauses, while others with the same model have free
+    slots.
 
     Parameters
     ----------
--- a/tests/placing/placement_simulation.py
+++ b/tests/placing/placement_simulation.py
@@ -55,7 +55,7 @@
 
     model: str
     started_s: float
-    asked_s: float
+    requested_s: float
     retry_at_s: float | None = None
     is_retry: bool = False
 
@@ -68,7 +68,7 @@
     including requests that are still waiting.
     """
 
-    asked: int = 0
+    requested: int = 0
     served: int = 0
     first_s: float = 0.0
     last_s: float = 0.0
@@ -167,7 +167,7 @@
         return {
             name: state
             for name, state in self.availability.items()
-            if state.asked >= 4 and state.last_s - state.first_s > 8.0
+            if state.requested >= 4 and state.last_s - state.first_s > 8.0
         }
 
     def never_served(self) -> list[str]:
@@ -193,7 +193,7 @@
         state = self.availability.setdefault(
             name, ModelAvailability(first_s=self.now_s)
         )
-        state.asked += 1
+        state.requested += 1
         state.last_s = self.now_s
         if not self._send(name):
             if state.since_s is None:
@@ -243,7 +243,7 @@
         is_busy = waiting.model in self._names[: len(BUSY_SHARES)]
         if waiting.is_retry or is_busy or not self._callers_retry:
             return True
-        left_s = waiting.asked_s + RARE_DEADLINE_S - self.now_s
+        left_s = waiting.requested_s + RARE_DEADLINE_S - self.now_s
         waiting.retry_at_s = self.now_s + min(
             model_retry_delay_s(wait), MAX_RETRY_DELAY_SHARE * left_s
         )
@@ -256,7 +256,7 @@
         return ModelWait(
             now_s=self.now_s,
             started_s=waiting.started_s,
-            last_s=waiting.asked_s + RARE_DEADLINE_S,
+            last_s=waiting.requested_s + RARE_DEADLINE_S,
             objective_s=objective_s,
             read_s=READ_S,
             copy_load_s=DISK_S,
--- a/tests/placing/placer_harness.py
+++ b/tests/placing/placer_harness.py
@@ -58,13 +58,13 @@
             self.orders_to_delay -= 1
             self.delayed_orders.append(order)
             raise EndpointFailed("no answer", step="test")
-        answer = self.take(order)
+        answer = self.handle_order(order)
         if self.answers_to_lose:
             self.answers_to_lose -= 1
             raise EndpointFailed("no answer", step="test")
         return answer
 
-    def take(self, order):
+    def handle_order(self, order):
         if order.expected_sequence != self.sequence:
             return OrderAnswer.CONFLICT
         self.orders.append(order)
--- a/tests/placing/test_placer.py
+++ b/tests/placing/test_placer.py
@@ -110,7 +110,7 @@
         await harness.async_tick(0.1)
         assert set(harness.engine.models) == {"m0", "m1"}
         delayed = harness.engine.delayed_orders[0]
-        assert harness.engine.take(delayed) is OrderAnswer.CONFLICT
+        assert harness.engine.handle_order(delayed) is OrderAnswer.CONFLICT
 
     run(async_test)
 
@@ -125,7 +125,7 @@
         first = Change(ENDPOINT_ID, "m0", "a1", unload_adapters=(("m0", "a2"),))
         await harness.placer._async_execute(first, inventory)
         # The second order is lost, and the first one takes effect before the report.
-        harness.engine.before_report = lambda: harness.engine.take(
+        harness.engine.before_report = lambda: harness.engine.handle_order(
             harness.engine.delayed_orders[0]
         )
         second = Change(ENDPOINT_ID, "m1", unload_models=("m7",))
--- a/tests/placing/test_rare_models.py
+++ b/tests/placing/test_rare_models.py
@@ -3,10 +3,10 @@
 Guards against starvation: in a healthy system, all requests for some models were
 rejected for a whole run, while models with no higher request rate were loaded and
 evicted.
-Plans were ordered by the number of waiting requests, then by first request, and only
-idle models were evicted. A rejected request left no trace, so the next one started at
-the same position. Neither the order nor eviction considered how long a model had been
-unserved, and preloaded models were never evicted.
+Models were loaded in the order of their number of waiting requests, then of their first
+request, and only idle models were evicted. A rejected request left no trace, so the
+next one started at the same position. Neither the order nor eviction considered how
+long a model had been unserved, and preloaded models were never evicted.
 
 The log showed ``placement_declined reason=no_room`` repeatedly for the same models;
 ``kept`` showed that most models were retained because of forecast demand.
@@ -85,8 +85,8 @@
     for seed in range(12):
         simulation = make_simulation_without_retries(5.0, seed)
         simulation.run(RUN_S)
-        asked = simulation.continuously_requested()
-        assert len(simulation.never_served()) <= 1 + MAX_UNSERVED_SHARE * len(asked), (
+        models = simulation.continuously_requested()
+        assert len(simulation.never_served()) <= 1 + MAX_UNSERVED_SHARE * len(models), (
             seed
         )
 
@@ -99,8 +99,8 @@
     for seed in range(12):
         simulation = PlacementSimulation(DemandPlacement(), rare_per_s=5.0, seed=seed)
         simulation.run(RUN_S)
-        asked = simulation.continuously_requested()
-        assert len(simulation.never_served()) <= 1 + MAX_UNSERVED_SHARE * len(asked), (
+        models = simulation.continuously_requested()
+        assert len(simulation.never_served()) <= 1 + MAX_UNSERVED_SHARE * len(models), (
             seed
         )
 
--- a/tests/relaying/test_quick_restarts.py
+++ b/tests/relaying/test_quick_restarts.py
@@ -1,7 +1,7 @@
 """A request that crashes endpoints that a supervisor restarts at once.
 
-Guards against counting two crashes as one. Crashes were told apart by the time between
-them, so a second crash of a restarted endpoint within 0.25 s counted as the first one.
+Guards against counting two crashes as one. Crashes were distinguished by the time
+between them, so a second crash of a restarted endpoint within 0.25 s was not counted.
 A request crashed four or five endpoints, up to nine if they restarted within 20 ms,
 although three crashes quarantine it. In each such run, the additional request went to a
 process that had started after the previous crash was known.
