--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -11,10 +11,10 @@
 FAILURE_DECAY_S = 3.0
 """Time constant of the exponential decay of successes and failures."""
 FAILURES_BEFORE_BACKOFF = 3
-FIRST_BACKOFF_S = 0.4
+INITIAL_BACKOFF_S = 0.4
 MAX_BACKOFF_S = 3.0
-FIRST_UNREACHABLE_BACKOFF_S = 0.3
-"""First backoff after a failed connect; it grows, as a crashed endpoint stays away."""
+INITIAL_UNREACHABLE_BACKOFF_S = 0.3
+"""Initial backoff after a failed connect; it grows, as crashed endpoints stay away."""
 MAX_UNREACHABLE_BACKOFF_S = 2.0
 STREAM_DECAY_S = 12.0
 """Time constant of the share of streams with long pauses.
@@ -83,7 +83,7 @@
         row.in_a_row += 1
         if row.in_a_row >= FAILURES_BEFORE_BACKOFF:
             doublings = min(row.in_a_row - FAILURES_BEFORE_BACKOFF, 4)
-            backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+            backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**doublings)
             row.closed_until_s = now_s + backoff_s
 
     def note_streams(
@@ -106,7 +106,7 @@
         """Record a failed connect and start a backoff without requests."""
         self.note_failure(endpoint, now_s)
         row = self._row(endpoint, now_s)
-        backoff_s = FIRST_UNREACHABLE_BACKOFF_S * 2 ** min(row.unreachable, 4)
+        backoff_s = INITIAL_UNREACHABLE_BACKOFF_S * 2 ** min(row.unreachable, 4)
         row.unreachable += 1
         row.away_until_s = now_s + min(MAX_UNREACHABLE_BACKOFF_S, backoff_s)
 
--- a/chutelink/placing/load_backoff.py
+++ b/chutelink/placing/load_backoff.py
@@ -6,7 +6,7 @@
 
 from ..ids import ModelName
 
-FAILURES_BEFORE_BACKOFF = 1
+EXITS_WITHOUT_BACKOFF = 1
 """Consecutive exits during loads of a model that cause no backoff.
 
 A single exit is weak evidence: a load takes seconds, and endpoints also exit for other
@@ -38,8 +38,8 @@
         """Count an exit of an endpoint that was loading the model."""
         row = self._rows.setdefault(model, _LoadExits())
         row.count += 1
-        if row.count > FAILURES_BEFORE_BACKOFF:
-            doublings = min(row.count - FAILURES_BEFORE_BACKOFF - 1, 16)
+        if row.count > EXITS_WITHOUT_BACKOFF:
+            doublings = min(row.count - EXITS_WITHOUT_BACKOFF - 1, 16)
             row.until_s = now_s + min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**doublings)
 
     def record_success(self, model: ModelName) -> None:
--- a/tests/placing/test_load_backoff.py
+++ b/tests/placing/test_load_backoff.py
@@ -9,7 +9,7 @@
 from chutelink.exceptions import EndpointFailed
 from chutelink.placing.inventory import OrderAction
 from chutelink.placing.load_backoff import (
-    FAILURES_BEFORE_BACKOFF,
+    EXITS_WITHOUT_BACKOFF,
     MAX_BACKOFF_S,
     LoadBackoff,
 )
@@ -80,7 +80,7 @@
 
 def test_backoff_grows_to_a_limit_and_is_reset_by_a_successful_load(backoff):
     now_s = 0.0
-    for _ in range(FAILURES_BEFORE_BACKOFF + 20):
+    for _ in range(EXITS_WITHOUT_BACKOFF + 20):
         backoff.record_exit(CRASHING_MODEL, now_s)
         now_s += MAX_BACKOFF_S
     assert backoff.paused_models(now_s - 0.1) == {CRASHING_MODEL}
