--- a/chutelink/customers/const.py
+++ b/chutelink/customers/const.py
@@ -1,4 +1,4 @@
-"""Limits on customers' keys, and constants for sharing and lending quotas."""
+"""Limits on customers' keys, and constants for quota shares and loans."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 While a fleet starts, the daemons that are found first serve for some tenths of a
 second. With all of their shares reserved, 8 serving daemons of 60 held a sixteenth
-each, and daemons that served nobody held the rest.
+each, and daemons that served no callers held the rest.
 """
 HOLDER_RETENTION_S: Final = 60.0
 """How long the share of an unreachable daemon stays reserved.
@@ -43,7 +43,7 @@
 PEAK_COST_DECAY: Final = 0.999
 """Factor by which the largest cost seen decays per request: to half in 700 requests."""
 CAPACITY_SHARE: Final = 0.55
-"""Share of a quota's margin over the steady rate that all daemons accumulate."""
+"""Share of the margin over the steady rate that all daemons together accumulate."""
 START_SHARE: Final = 0.35
 """Share of the margin that daemons start with, unless they also started recently.
 
--- a/chutelink/learning/health.py
+++ b/chutelink/learning/health.py
@@ -11,10 +11,10 @@
 FAILURE_DECAY_S = 3.0
 """Time constant of the exponential decay of successes and failures."""
 FAILURES_BEFORE_BACKOFF = 3
-FIRST_BACKOFF_S = 0.4
+INITIAL_BACKOFF_S = 0.4
 MAX_BACKOFF_S = 3.0
-FIRST_UNREACHABLE_BACKOFF_S = 0.3
-"""First backoff after a failed connect; it grows, as a crashed endpoint stays away."""
+INITIAL_UNREACHABLE_BACKOFF_S = 0.3
+"""Initial backoff after a failed connect; it grows, as crashed endpoints stay away."""
 MAX_UNREACHABLE_BACKOFF_S = 2.0
 STREAM_DECAY_S = 12.0
 """Time constant of the share of streams with long pauses.
@@ -25,11 +25,17 @@
 """Prior count of streams without long pauses, credited to every endpoint."""
 TYPICAL_SMOOTHING = 0.1
 DEFAULT_TYPICAL_S = 0.05
-"""Assumed until an endpoint has answered: typical of a service without models."""
+"""Assumed until an endpoint has responded; typical of a service without models."""
 
 
 class _Health(msgspec.Struct):
-    """Recent results of one endpoint, with weights that decay over time."""
+    """Recent results of one endpoint.
+
+    The weights of successes, failures and streams decay over time; ``in_a_row`` and
+    ``unreachable`` count consecutive failures and failed connects. Until
+    ``closed_until_s`` other endpoints are preferred, and until ``away_until_s`` the
+    endpoint gets no requests.
+    """
 
     good: float = 1.0
     bad: float = 0.0
@@ -58,7 +64,10 @@
         self._rows: dict[EndpointId, _Health] = {}
 
     def note_success(self, endpoint: EndpointId, now_s: float, took_s: float) -> None:
-        """Record a complete response that took ``took_s`` from sending the request."""
+        """Record a success: a complete response, or the first event of a stream.
+
+        ``took_s`` is the time since the request was sent.
+        """
         row = self._row(endpoint, now_s)
         row.good += 1.0
         row.in_a_row = 0
@@ -74,7 +83,7 @@
         row.in_a_row += 1
         if row.in_a_row >= FAILURES_BEFORE_BACKOFF:
             doublings = min(row.in_a_row - FAILURES_BEFORE_BACKOFF, 4)
-            backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+            backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**doublings)
             row.closed_until_s = now_s + backoff_s
 
     def note_streams(
@@ -97,7 +106,7 @@
         """Record a failed connect and start a backoff without requests."""
         self.note_failure(endpoint, now_s)
         row = self._row(endpoint, now_s)
-        backoff_s = FIRST_UNREACHABLE_BACKOFF_S * 2 ** min(row.unreachable, 4)
+        backoff_s = INITIAL_UNREACHABLE_BACKOFF_S * 2 ** min(row.unreachable, 4)
         row.unreachable += 1
         row.away_until_s = now_s + min(MAX_UNREACHABLE_BACKOFF_S, backoff_s)
 
@@ -109,8 +118,8 @@
     def unreachable(self, now_s: float) -> list[EndpointId]:
         """Return the endpoints in a backoff after a failed connect.
 
-        Daemons that are told of such an endpoint request a report from it, which is
-        charged for. An endpoint that is no longer tried is therefore not listed again.
+        The placer requests a report from each of them, which is charged for. An
+        endpoint that is no longer tried is therefore not listed again.
         """
         return [
             name
@@ -132,7 +141,7 @@
         return row.bad / (row.good + row.bad)
 
     def typical_s(self, endpoint: EndpointId) -> float:
-        """Return how long an endpoint typically takes to answer."""
+        """Return how long an endpoint typically takes to respond."""
         row = self._rows.get(endpoint)
         return DEFAULT_TYPICAL_S if row is None else row.typical_s
 
--- a/chutelink/relaying/routing.py
+++ b/chutelink/relaying/routing.py
@@ -14,9 +14,9 @@
 from ..learning.speeds import SpeedTable
 
 CROSS_DOMAIN_COST_S = 0.003
-"""Cost of crossing failure domains: a round trip, and the traffic is billed."""
+"""Cost of crossing failure domains, for the round trip and the billed traffic."""
 DEFAULT_OBJECTIVE_S = 1.0
-"""Used for requests without an objective."""
+"""Assumed for requests without an objective."""
 
 
 class RoutingRequest(msgspec.Struct, frozen=True):
@@ -76,8 +76,8 @@
     The loss of a request covers a late first byte, a failure and pauses in its
     stream. The more requests an endpoint has in flight, the more streams pause: the
     new one and those already there. Counting both avoids sending all requests to the
-    one endpoint that has not paused lately, while others with the same model have
-    free slots.
+    one endpoint without recent pauses, while others with the same model have free
+    slots.
 
     Parameters
     ----------
