--- a/chutelink/entry/caller_server.py
+++ b/chutelink/entry/caller_server.py
@@ -24,7 +24,7 @@
     app: EntryApp, header_codec: HeaderCodec, upstream: Upstream
 ) -> CallerServer:
     """Return the server for callers, with relays that use the application's tables."""
-    dispatcher = _make_exchanges(app, header_codec)
+    dispatcher = _make_dispatcher(app, header_codec)
     customers = CustomerAccess(
         app.quotas.manager,
         lambda: app.watch.knowledge(TABLE_CONFIG),
@@ -44,7 +44,7 @@
     )
 
 
-def _make_exchanges(app: EntryApp, header_codec: HeaderCodec) -> ExchangeDispatcher:
+def _make_dispatcher(app: EntryApp, header_codec: HeaderCodec) -> ExchangeDispatcher:
     known = app.known
     dispatcher = ExchangeDispatcher(
         app,
--- a/chutelink/entry/demand.py
+++ b/chutelink/entry/demand.py
@@ -12,7 +12,7 @@
 AVERAGING_S = 3.0
 """Time constant of the moving averages; demand shifts within about 5 s."""
 ASKS_DECAY_S = 8.0
-"""Decay time constant of the request count that earns a rare model a cold load."""
+"""Decay time constant of the request count that justifies a rare model's cold load."""
 UNSERVED_VALID_S = 20.0
 """How long a model keeps its place in the load order without new requests.
 
@@ -129,9 +129,9 @@
     def denied_s(self, now_s: float) -> dict[tuple[ModelName, AdapterName], float]:
         """Return how long requests for models and adapters have been unserved.
 
-        The time counts from the first request after the last served one and includes
-        refused requests, so a model keeps its place in the load order when the
-        request that needed it is refused.
+        The time counts from the first waiting request after the last served one. A
+        refused request does not end it, so that its model keeps its place in the load
+        order.
         """
         return {
             key: now_s - average.denied_since_s
--- a/chutelink/entry/directory.py
+++ b/chutelink/entry/directory.py
@@ -57,12 +57,12 @@
         candidates = self._candidates()
         rows = self._members.rows.values()
         domains = {member.failure_domain for member in rows}
-        named = {
+        listed = {
             member.id
             for domain in domains
             for member in self._for_domain(domain, candidates)
         }
-        return named | {m.id for m in rows if m.state is MemberState.LEAVING}
+        return listed | {m.id for m in rows if m.state is MemberState.LEAVING}
 
     def _candidates(self) -> list[Member]:
         """Return the large members, and others up to the required number.
--- a/chutelink/entry/endpoints.py
+++ b/chutelink/entry/endpoints.py
@@ -48,7 +48,7 @@
 
     SAME = "same"
     CHANGED = "changed"
-    """It is new, or changes whether requests may be sent."""
+    """The endpoint is new, or its registration changes whether it may get requests."""
     RESTARTED = "restarted"
     """It is from a new process, which has none of the previous state."""
     OUTDATED = "outdated"
@@ -104,7 +104,7 @@
         self.paused_until_s = float("-inf")
         """End of the pause that it requested from this daemon."""
         self.unconfirmed_until_s = float("-inf")
-        """Until when its row may be that of an ended process that has yet to lapse."""
+        """Until when its row may belong to an ended process and is yet to lapse."""
         self.is_leaving = False
         """Whether it announced its shutdown, in a response or in a registration."""
 
@@ -226,10 +226,11 @@
     def put_restored(
         self, record: EndpointRecord, now_s: float, lapse_s: float
     ) -> RegistrationResult:
-        """Apply a registration that reappeared with an older copy of the store.
+        """Apply a registration from a store that was restored from a backup.
 
-        An endpoint that had been removed before may have ended. It is not used for
-        ``lapse_s``, the time after which a registration without heartbeats lapses.
+        The process of an endpoint that had been removed before may have ended. Such an
+        endpoint is not used for ``lapse_s``, the time after which a registration
+        without heartbeats lapses.
         """
         is_known = record.id in self.rows
         result = self.put(record, now_s)
--- a/chutelink/entry/http.py
+++ b/chutelink/entry/http.py
@@ -45,7 +45,7 @@
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     dispatcher : ExchangeDispatcher
         Shared tables and policies of the relays.
     relay, streams
@@ -80,9 +80,9 @@
         self._shutdown_deadline_s: float | None = None
         self.in_flight = 0
 
-    def set_shutdown_deadline(self, ends_s: float) -> None:
-        """Accept only requests that can finish by then, as this daemon shuts down."""
-        self._shutdown_deadline_s = ends_s
+    def set_shutdown_deadline(self, deadline_s: float) -> None:
+        """From now on, accept only requests that can finish by the deadline."""
+        self._shutdown_deadline_s = deadline_s
 
     def stop_waiting(self) -> None:
         """Refuse the requests that have not been sent to an endpoint yet."""
@@ -125,7 +125,7 @@
     ) -> Exchange:
         """Validate a request and read its body.
 
-        Whatever the headers allow is checked before the body is read.
+        All checks that need only the headers are made before the body is read.
 
         Raises
         ------
--- a/chutelink/entry/membership.py
+++ b/chutelink/entry/membership.py
@@ -90,16 +90,16 @@
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     table : WatchableTable
-        Store table that holds the rows.
+        Table service that stores the rows.
     mesh : Mesh
         Receives the addresses of the peers.
     peer_address : str
         This daemon's own address for peers.
     capacity : float
         The processor share of its VM.
-    looks_back : bool
+    reads_previous_fleet : bool
         Whether to read the previous registrations before the first write.
     era : callable
         Returns the latest known era of the store; the row is rewritten in each era.
--- a/chutelink/entry/message_router.py
+++ b/chutelink/entry/message_router.py
@@ -53,7 +53,7 @@
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     mesh : Mesh
         Links to the other daemons.
     directory : Directory
--- a/chutelink/entry/messages.py
+++ b/chutelink/entry/messages.py
@@ -214,7 +214,7 @@
     | PermitRequest
     | PermitAnswer
 )
-_DECODE_FAILURES = (
+_DECODE_ERRORS = (
     cbor2.CBORDecodeError,
     ValueError,
     TypeError,
@@ -243,5 +243,5 @@
     """
     try:
         return msgspec.convert(cbor2.loads(unpack(body)), EntryMessage)
-    except _DECODE_FAILURES as error:
+    except _DECODE_ERRORS as error:
         raise PeerMessageInvalid(str(error), step="news.decode", peer=peer) from error
--- a/chutelink/entry/state.py
+++ b/chutelink/entry/state.py
@@ -1,4 +1,4 @@
-"""State of an entry daemon derived from the store: routes, endpoints and statistics."""
+"""State of an entry daemon: routes and endpoints from the store, and statistics."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     Parameters
     ----------
     core : Application
-        The owner.
+        The owning application.
     adapter : PlatformAdapter
         Decodes rows.
     quarantine : Quarantine
-        Notified when endpoint processes restart or vanish.
+        Notified when endpoint processes restart or their registrations lapse.
     lapse_s : float, default=DEFAULT_LAPSE_S
         How long a registration stays in the store without heartbeats.
     """
--- a/chutelink/peers/dialing.py
+++ b/chutelink/peers/dialing.py
@@ -20,7 +20,7 @@
     Parameters
     ----------
     core : Application
-        The application that this daemon runs.
+        The owning application.
     settings : PeersSection
         The configured seeds.
     own_address : str
@@ -54,7 +54,7 @@
         self._seeds = set(self._settings.seeds) | addresses
 
     def is_reachable(self, address: str) -> bool:
-        """Return whether the last dial of an address has not failed."""
+        """Return False if the last dial of an address failed, True otherwise."""
         return address not in self._unreachable
 
     def forget_failure(self, address: str) -> None:
@@ -67,8 +67,9 @@
         """Return the seeds to dial, from those that are not known members.
 
         These are ``SEED_DIALS`` random ones while there is no link, otherwise one. The
-        other members are learned from the peer that answers; if every daemon dialled
-        all seeds, the start of a fleet would cost the square of its size.
+        other members are learned from the peer that answers. If every daemon dialled
+        all seeds, the dials at the start of a fleet would grow with the square of its
+        size.
         """
         missing = sorted(self._seeds.difference(known, {self._own_address}))
         if not missing:
--- a/chutelink/peers/isolation.py
+++ b/chutelink/peers/isolation.py
@@ -1,4 +1,4 @@
-"""Detection that a daemon received nothing from any peer. No I/O."""
+"""Detection of periods without messages from any peer. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class IsolationDetector:
-    """Records when this daemon last received nothing from any peer for a while.
+    """Records the last period in which this daemon received nothing from any peer.
 
-    This distinguishes a daemon that was isolated itself from an outage that its peers
-    noticed as well.
+    This distinguishes an isolation of this daemon from an outage of the store, which
+    its peers observe as well.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     def isolated_until_s(self, now_s: float) -> float:
         """Return when the last silence of all peers ended; now if it still lasts.
 
-        Minus infinity if no peer was ever heard from or no such silence occurred.
+        Minus infinity if no message was ever received or no such silence occurred.
         """
         return now_s if self._is_silent(now_s) else self._silence_ended_s
 
--- a/chutelink/peers/link.py
+++ b/chutelink/peers/link.py
@@ -62,7 +62,10 @@
         self._note(message_kind(message), Direction.RECEIVED, size_bytes)
 
     def _note(self, kind: str, direction: Direction, size_bytes: int) -> None:
-        """Count a message; until the peer is known it counts as remote."""
+        """Count a message.
+
+        It counts as remote while the peer is unknown, as it may be in another domain.
+        """
         is_remote = self.member is None or (
             self.member.failure_domain != self._own_domain
         )
--- a/chutelink/peers/link_manager.py
+++ b/chutelink/peers/link_manager.py
@@ -25,7 +25,7 @@
     Parameters
     ----------
     core : Application
-        The application that this daemon runs.
+        The owning application.
     settings : PeersSection
         Timeouts of links and suspicions.
     table : MemberTable
--- a/chutelink/peers/mesh.py
+++ b/chutelink/peers/mesh.py
@@ -53,7 +53,7 @@
     Parameters
     ----------
     core : Application
-        The application that this daemon runs.
+        The owning application.
     settings : PeersSection
         Seeds, number of hubs and timeouts.
     table : MemberTable
@@ -156,7 +156,7 @@
                 return
 
     def isolated_until_s(self) -> float:
-        """Return until when this daemon last received nothing from any peer."""
+        """Return when the last silence of all peers ended; now if it still lasts."""
         return self._isolation.isolated_until_s(self._core.clock())
 
     def linked_members(self) -> set[DaemonId]:
@@ -290,7 +290,7 @@
             self._core.metrics.members.set({"state": state.value}, counts[state])
 
     def _send_heartbeats(self) -> None:
-        # Only in a full mesh do the linked ids save forwarding: see Disseminator.
+        # The linked ids save forwarding only in a full mesh: see Disseminator.forward.
         is_full = self._disseminator.topology.is_full_mesh
         linked = sorted(self.linked_members()) if is_full else []
         version = self.config_version()
--- a/chutelink/peers/messages.py
+++ b/chutelink/peers/messages.py
@@ -52,8 +52,9 @@
 class QueueUpdate(msgspec.Struct, frozen=True, array_like=True, tag="queue"):
     """The queued requests of a gateway by model, and its request rates by caller.
 
-    Forwarded once. ``callers_per_s`` lists only callers that use a large part of their
-    share of the gateway. ``sequence`` increases with each message of a process.
+    Each daemon forwards it once. ``callers_per_s`` lists only callers that use a large
+    part of their share of the gateway. ``sequence`` increases with each message of a
+    process.
     """
 
     gateway: DaemonId
--- a/chutelink/peers/packing.py
+++ b/chutelink/peers/packing.py
@@ -9,16 +9,13 @@
 PLAIN = b"p"
 COMPRESSED = b"z"
 MIN_COMPRESSED_BYTES = 512
-"""Compression saves little on smaller messages.
-
-It saves a lot on configurations and lists of members.
-"""
+"""Smaller messages gain little; configurations and lists of members gain a lot."""
 COMPRESSION_LEVEL = 1
 UNPACK_ERRORS = (ValueError, zlib.error)
 
 
 def pack(data: bytes) -> bytes:
-    """Return the data, compressed if large, after a byte that says which it is."""
+    """Return the data after a format byte, compressed unless they are small."""
     if len(data) < MIN_COMPRESSED_BYTES:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data, COMPRESSION_LEVEL)
--- a/chutelink/peers/topology.py
+++ b/chutelink/peers/topology.py
@@ -1,4 +1,4 @@
-"""The links that each daemon keeps, and where it forwards messages. No I/O.
+"""The links that each daemon keeps, and where it forwards messages. Does no I/O.
 
 A small fleet is a full mesh. In a larger one some daemons of each failure domain are
 hubs: all hubs are linked to each other, and every other daemon to the hubs of its
--- a/chutelink/quarantine/const.py
+++ b/chutelink/quarantine/const.py
@@ -8,8 +8,8 @@
 """Endpoint terminations during one request before the request is held.
 
 A terminating endpoint breaks all its streams, so every one of them looks like the
-cause: a lower threshold holds requests that merely ran at the same time. The operators
-allow 3.
+cause: a lower threshold would hold requests that merely ran at the same time. The
+operators allow 3.
 """
 FIRST_HOLD_S: Final = 300.0
 """Duration of a request's first hold.
--- a/chutelink/quarantine/endinglog.py
+++ b/chutelink/quarantine/endinglog.py
@@ -1,4 +1,4 @@
-"""Identification of endpoint terminations across runs and daemons. Pure."""
+"""Identification of endpoint terminations across runs and daemons. Does no I/O."""
 
 from __future__ import annotations
 
--- a/chutelink/quarantine/fingerprint.py
+++ b/chutelink/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Fingerprints that identify requests by content instead of by id. Pure."""
+"""Fingerprints that identify requests by content instead of by id. Does no I/O."""
 
 from __future__ import annotations
 
--- a/chutelink/quarantine/persistence.py
+++ b/chutelink/quarantine/persistence.py
@@ -64,7 +64,7 @@
         self._cleared: dict[Fingerprint, None] = {}
         """Holds that have ended, the latest last.
 
-        A store restored from an older copy may contain them again.
+        A store restored from a backup may contain them again.
         """
         self._restored_s = float("-inf")
         self._changed = asyncio.Event()
@@ -91,7 +91,7 @@
             del self._cleared[next(iter(self._cleared))]
 
     def note_restored(self, keys: set[str]) -> None:
-        """Handle a store that was restored from an older copy with these rows."""
+        """Handle a store that was restored from a backup with these rows."""
         self._restored_s = self._core.clock()
         self._saved = {Fingerprint(key.removeprefix(PREFIX_HOLDS)) for key in keys}
         self._changed.set()
@@ -99,8 +99,8 @@
     def apply_row(self, key: str, value: Any, *, is_restored: bool = False) -> None:
         """Apply a row of the table; a value of None means that it was removed.
 
-        A row of a restored, older store doesn't override newer knowledge, which is
-        written again instead.
+        A row of a store restored from a backup doesn't override newer knowledge, which
+        is written again instead.
         """
         fingerprint = Fingerprint(key.removeprefix(PREFIX_HOLDS))
         if value is None and not is_restored:
@@ -123,7 +123,7 @@
         self._quarantine.apply_stored_hold(fingerprint, hold)
 
     def _is_outdated(self, fingerprint: Fingerprint, hold: Hold) -> bool:
-        """Return whether a hold of a restored store is older than the known state."""
+        """Return whether a hold from a backup is older than the known state."""
         known = self._quarantine.table.holds().get(fingerprint)
         if known is None and fingerprint in self._cleared:
             self._pending_removals.add(fingerprint)
@@ -148,7 +148,7 @@
             await self._async_wait_for_changes()
 
     async def _async_wait_for_changes(self) -> None:
-        # Limits the rate of writes, also while more holds are waiting to be written.
+        # Limits the rate of writes even while more holds are waiting to be written.
         await self.sleep(SAVE_PERIOD_S)
         self._changed.clear()
         while not self._has_pending_writes() and not self.should_stop:
@@ -192,7 +192,7 @@
         self._locally_held.difference_update(unsaved)
 
     def _evicted(self) -> list[Fingerprint]:
-        """Return the stored holds that were evicted; one daemon removes the rows."""
+        """Return the stored holds that were evicted; only rank 0 removes their rows."""
         if len(self._saved) <= MAX_HOLDS or self._rank():
             return []
         return [f for f in self._saved if f not in self._quarantine.table]
--- a/chutelink/quarantine/policy.py
+++ b/chutelink/quarantine/policy.py
@@ -1,4 +1,4 @@
-"""Policies that decide which requests are held, and for how long. Pure."""
+"""Policies that decide which requests are held, and for how long. Does no I/O."""
 
 from __future__ import annotations
 
--- a/chutelink/quarantine/service.py
+++ b/chutelink/quarantine/service.py
@@ -154,7 +154,7 @@
             self._log_hold(fingerprint, hold, "store")
 
     def apply_endings(self, message: EndingsMessage, source: str) -> None:
-        """Apply the runs that another daemon reports for endpoint terminations."""
+        """Apply another daemon's report of runs during which endpoints terminated."""
         now_s = self._core.clock()
         for run in message.runs:
             ending = self._endings.resolve(run.ending, now_s - run.noticed_ago_s, now_s)
--- a/chutelink/quarantine/table.py
+++ b/chutelink/quarantine/table.py
@@ -1,4 +1,4 @@
-"""Bounded table of suspect requests. Pure."""
+"""Bounded table of suspect requests. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SuspectTable:
-    """Requests during whose runs endpoints have terminated.
+    """Requests that were running when endpoints terminated.
 
     Held requests and the others are in separate dictionaries, the latest last, so that
     the oldest are evicted without a scan: one termination may add hundreds of requests.
--- a/chutelink/quarantine/verifier.py
+++ b/chutelink/quarantine/verifier.py
@@ -15,7 +15,7 @@
 
 
 class _PendingRun(msgspec.Struct, frozen=True):
-    """A broken run without evidence that its endpoint has terminated."""
+    """A broken run without evidence so far that its endpoint has terminated."""
 
     run: BrokenRun
     broken_s: float
--- a/chutelink/quarantine/web.py
+++ b/chutelink/quarantine/web.py
@@ -47,7 +47,7 @@
     def add_routes(self, app: web.Application) -> None:
         """Add the routes."""
         app.router.add_get(PATH_HELD, self.async_list)
-        app.router.add_delete(PATH_HELD + "/{fingerprint}", self.async_free)
+        app.router.add_delete(PATH_HELD + "/{fingerprint}", self.async_release)
 
     def _require_operator(self, request: web.Request) -> None:
         given = request.headers.get("Authorization", "")
@@ -72,7 +72,7 @@
             content_type="application/json",
         )
 
-    async def async_free(self, request: web.Request) -> web.Response:
+    async def async_release(self, request: web.Request) -> web.Response:
         """Release a held request at all daemons."""
         self._require_operator(request)
         fingerprint = Fingerprint(request.match_info["fingerprint"])
--- a/chutelink/watching/table_state.py
+++ b/chutelink/watching/table_state.py
@@ -20,7 +20,7 @@
     peer that sent the change; ``age_s`` is the upper bound of the age of the read.
     A removed row may be registered again until ``back_until_s``, on this daemon's
     clock. ``is_restored`` is set if the store was restored from a backup: the row may
-    then be older than the known one, and nobody may have made this change.
+    then be older than the known one, without anybody having changed it.
     """
 
     key: str
--- a/chutelink/watching/timing.py
+++ b/chutelink/watching/timing.py
@@ -1,8 +1,8 @@
 """Timing of store reads, derived from the staleness bound.
 
 Every daemon must know a change within the staleness bound. Backup readers start in
-order of rank, calls have a timeout and are sent twice, and a pause follows a failed
-call: all of this has to fit into the bound.
+order of rank, calls have a timeout and are sent again if unanswered, and a pause
+follows a failed call: all of this has to fit into the bound.
 """
 
 from __future__ import annotations
@@ -18,9 +18,8 @@
 RANK_DELAY_SHARE = 0.04
 """Additional delay of each further rank, as a share of the bound.
 
-The shares keep the last rank within the bound even if the first attempt of its call
-gets no answer and the second a slow one, or if its first call fails. See
-``max_timeout_s`` for the sum.
+The shares leave the last rank enough time to retry within the bound; see
+``max_timeout_s``.
 """
 MAX_RANK_STEPS = 4
 """Number of delay steps after rank 1; higher ranks read together at the last step."""
@@ -40,6 +39,7 @@
 SLOW_ANSWER_S = 0.5
 """Response time of a slow store; most answers take about 10 ms."""
 QUICK_ANSWER_S = 0.1
+"""Maximum response time of a healthy store."""
 MIN_TIMEOUT_S = 0.1
 
 
--- a/chutelink/watching/watch.py
+++ b/chutelink/watching/watch.py
@@ -1,4 +1,4 @@
-"""Replicate tables of the store in cooperation with the other daemons.
+"""Replication of store tables in cooperation with the other daemons.
 
 A daemon that reads changes sends them to the others. Each daemon reads the store itself
 only when its copy is older than a threshold that rises with its rank. So one daemon
@@ -34,7 +34,7 @@
 
 MIN_SNAPSHOT_INTERVAL_S = 0.5
 SLOW_CALL_EXCESS_S = 0.3
-"""Calls that exceed their long-poll wait by this much are logged.
+"""Calls that exceed the long-poll wait by this much are logged.
 
 Most take about 10 ms.
 """
@@ -46,7 +46,7 @@
     Parameters
     ----------
     core : Application
-        The application that owns the service.
+        The owning application.
     table : WatchableTable
         Client of the store.
     staleness_bounds_s : dict
@@ -91,9 +91,9 @@
         )
         self.compact: Callable[[str, Any], Any] = lambda key, value: value
         self.isolated_until_s: Callable[[], float] = lambda: float("-inf")
-        """End of the last period without messages from peers, now while one lasts.
+        """End of the last silence of all peers, or now if it still lasts.
 
-        On this daemon's clock.
+        The time is on this daemon's clock.
         """
 
     @property
@@ -164,7 +164,7 @@
         self._record_answer(state, read)
         self._detect_outage(state, read)
         if copy.status_of(read) is not UpdateStatus.APPLICABLE:
-            # Updates from peers have moved the copy on during the read.
+            # Updates from peers have advanced the copy during the read.
             self._core.events.info(
                 "store_read_outdated",
                 table=copy.name,
@@ -333,10 +333,10 @@
     def _record_gap(self, state: TableState, answered_s: float, gap_s: float) -> None:
         """Decide whether a gap between answers of the store was an outage.
 
-        A daemon that received nothing from its peers either was disconnected itself.
-        If it took that for an outage, it would keep endpoints that left during the gap,
-        or just after it, in use: together with the pause of calls before the first
-        answer, for longer than the staleness bound.
+        A daemon that received nothing from its peers during the gap was disconnected
+        itself. If it took the gap for an outage, it would keep using endpoints that
+        left during the gap or just after it. Together with the pause of its calls
+        before the first answer, that would exceed the staleness bound.
         """
         gap_started_s = self._core.clock() - self._age_s(answered_s) - gap_s
         is_outage = self.isolated_until_s() < gap_started_s
