--- a/tests/entry/test_state.py
+++ b/tests/entry/test_state.py
@@ -100,16 +100,16 @@
 
 def test_placement_of_a_previous_process_is_ignored():
     async def async_test():
-        messages = RouterHarness()
+        router_harness = RouterHarness()
         harness = StateHarness()
         harness.apply_row("i-1", ROW | {"born": 2000, "models": []})
-        messages.router._known = harness.known
+        router_harness.router._known = harness.known
         old = EndpointPlacement("i-1", 57, {"m7": []}, 1000)
-        messages.deliver(PlacementUpdate("d2", 1, [old], []))
+        router_harness.deliver(PlacementUpdate("d2", 1, [old], []))
         row = harness.known.endpoints.rows["i-1"]
         assert not row.holds("m7")
         new = EndpointPlacement("i-1", 1, {"m1": []}, 2000)
-        messages.deliver(PlacementUpdate("d2", 1, [new], []))
+        router_harness.deliver(PlacementUpdate("d2", 1, [new], []))
         assert row.holds("m1")
 
     asyncio.run(async_test())
@@ -117,12 +117,12 @@
 
 def test_placement_of_a_process_that_has_not_registered_yet_is_applied():
     async def async_test():
-        messages = RouterHarness()
+        router_harness = RouterHarness()
         harness = StateHarness()
         harness.apply_row("i-1", ROW)
-        messages.router._known = harness.known
+        router_harness.router._known = harness.known
         new = EndpointPlacement("i-1", 1, {"m1": []}, 2000)
-        messages.deliver(PlacementUpdate("d2", 1, [new], []))
+        router_harness.deliver(PlacementUpdate("d2", 1, [new], []))
         row = harness.known.endpoints.rows["i-1"]
         assert row.holds("m1") and not row.holds("m")
 
--- a/tests/peers/test_topology.py
+++ b/tests/peers/test_topology.py
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("count", [12, 19, 60, 195, 350])
 def test_a_broadcast_reaches_all_in_three_hops_with_few_cross_domain_copies(count):
-    """Daemons mostly receive two copies, and failure domains two from outside."""
+    """Most daemons receive two copies, and each failure domain two from outside."""
     fleet = Fleet(make_members(count))
     for origin in (DaemonId("d000"), DaemonId(f"d{count - 1:03}")):
         received, remote, hops = fleet.broadcast(origin)
@@ -116,7 +116,7 @@
 @settings(deadline=None)
 @given(st.integers(14, 120), st.integers(1, 8), st.integers(0, 119), st.data())
 def test_no_broadcast_is_lost_if_one_hub_per_domain_fails(count, domains, at, data):
-    """The failed hubs are all in one plane, and the others do not know of it yet."""
+    """The failed hubs are in one plane, and the others have not detected it yet."""
     members = make_members(count, domains)
     dead = set()
     if count >= 4 * domains:
--- a/tests/peers/test_virtual_fleet.py
+++ b/tests/peers/test_virtual_fleet.py
@@ -63,7 +63,7 @@
 
 @in_virtual_time
 async def test_idle_traffic_per_daemon_does_not_grow_with_the_fleet():
-    """Large fleets were aborted for the processor time spent on peer traffic."""
+    """Runs of large fleets were aborted, as peer traffic took much processor time."""
     mean_bytes_per_s = {}
     for count in (8, 32, 64):
         fleet = await async_start_fleet(count)
--- a/tests/peers/virtual_fleet.py
+++ b/tests/peers/virtual_fleet.py
@@ -114,7 +114,7 @@
 
 
 class VirtualNetwork:
-    """Delivers messages between daemons, with failed and partitioned daemons.
+    """Delivers messages between daemons, some of which may have failed or be cut off.
 
     ``sent_bytes`` and ``sent`` count by sender, ``remote_bytes`` counts the traffic
     between failure domains.
@@ -230,7 +230,7 @@
             await mesh.stop()
 
     def inaccurate_views(self) -> dict[str, int]:
-        """Return the daemons with a wrong view of the live ones, and by how many."""
+        """Return the number of errors in each wrong view of the live daemons."""
         running = set(self.meshes)
         off_by = {}
         for name, mesh in self.meshes.items():
--- a/tests/quarantine/test_fingerprint.py
+++ b/tests/quarantine/test_fingerprint.py
@@ -17,8 +17,8 @@
     is_same = msgspec.structs.replace(one, host=one.host.lower()) == (
         msgspec.structs.replace(other, host=other.host.lower())
     )
-    prints = {make_fingerprint("k", content) for content in (one, other)}
-    assert len(prints) == (1 if is_same else 2)
+    fingerprints = {make_fingerprint("k", content) for content in (one, other)}
+    assert len(fingerprints) == (1 if is_same else 2)
 
 
 @given(CONTENTS)
--- a/tests/quarantine/test_persistence.py
+++ b/tests/quarantine/test_persistence.py
@@ -175,7 +175,7 @@
 
 
 def test_path_with_undecodable_bytes_can_be_sent_and_stored():
-    """Undecodable bytes raised in the codec when they were sent or stored."""
+    """Undecodable bytes made the codec fail when they were sent or stored."""
 
     async def async_test():
         table = FakeTable()
@@ -207,7 +207,7 @@
 
 
 class RestoredTable(FakeTable):
-    """A table that can be restored from an older copy, and notifies its followers."""
+    """A table that can be restored from a backup and notifies the daemons."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/watching/leaving_soak.py
+++ b/tests/watching/leaving_soak.py
@@ -93,7 +93,7 @@
         self._fleet.store.drop_history()
 
     def _inject_fault(self) -> None:
-        """Inject a fault at one daemon, most often one of low rank."""
+        """Inject a fault at one daemon, mostly of low rank, which reads for others."""
         rank = min(int(self._rng.expovariate(0.6)), len(self._fleet.daemons) - 1)
         daemon = self._fleet.daemons[rank]
         if daemon.healthy_since_s == float("inf"):
@@ -177,8 +177,8 @@
         store.is_down = True
         store.healthy_since_s = float("inf")
         loop = asyncio.get_running_loop()
-        away_s = self._rng.uniform(0.0, MAX_DOWNTIME_S)
-        loop.call_later(away_s, self._finish_restore, backup)
+        downtime_s = self._rng.uniform(0.0, MAX_DOWNTIME_S)
+        loop.call_later(downtime_s, self._finish_restore, backup)
 
     def _finish_restore(self, backup: tuple[dict[str, Row], int]) -> None:
         """Restore the backup; endpoints write their rows again after a random delay."""
@@ -194,7 +194,7 @@
             loop.call_later(self._rng.uniform(0.0, REREGISTRATION_S), rewrite)
 
     def _rewrite_row(self, name: str, row: Row) -> None:
-        """Write a row as before the restore, unless its endpoint leaves by now."""
+        """Write a row as before the restore, unless its endpoint has begun to leave."""
         store = self._fleet.store
         if store.is_down:
             rewrite = functools.partial(self._rewrite_row, name, row)
--- a/tests/watching/test_leaving.py
+++ b/tests/watching/test_leaving.py
@@ -2,13 +2,13 @@
 
 Guards against a daemon that treats a failed call of its own as an outage of the store.
 The reading daemon loses one call and reads again; an endpoint then leaves by removing
-its registration. All daemons take the removal for a row that lapsed in an outage, and
-keep the endpoint usable for 1.8 s, up to 0.2 s more until the next expiry, after the 0
-to 0.4 s until the removal is read: up to 2.4 s in all. In simulations with the reader
+its registration. The removal is read after 0 to 0.4 s. All daemons take it for a row
+that lapsed in an outage, and keep the endpoint usable for 1.8 s, and for up to 0.2 s
+more until the next expiry: up to 2.4 s in all. In simulations with the reader
 disconnected for 0.5 to 1.2 s, all seven daemons logged ``endpoint_lapsed`` 0.18 s after
 the store's acknowledgement, the last request was sent 2.05 to 2.13 s after it and
-answered in full, and ``endpoint_gone reason=lapsed`` followed. It would have failed if
-the endpoint had ended sooner.
+answered in full, and ``endpoint_gone reason=lapsed`` followed. That request would have
+failed if the endpoint had ended sooner.
 
 The other tests guard against data that is taken for newer, or for more complete, than
 it is.
@@ -45,7 +45,7 @@
 
 
 def test_delayed_updates_count_with_their_real_age():
-    """Updates that are delayed by 1.9 s must not make copies count as just read."""
+    """Updates that are delayed by 1.9 s must not make copies look freshly read."""
 
     async def async_test():
         async with async_fleet() as fleet:
--- a/tests/watching/test_probing.py
+++ b/tests/watching/test_probing.py
@@ -29,7 +29,7 @@
 
 
 def test_large_fleet_limits_calls_to_unresponsive_store():
-    """Low ranks keep probing for ten seconds without an answer; the others back off."""
+    """In an outage of ten seconds, low ranks keep probing and the others back off."""
 
     async def async_test():
         async with async_fleet(DAEMONS) as fleet:
--- a/tests/watching/watching_fleet.py
+++ b/tests/watching/watching_fleet.py
@@ -302,10 +302,10 @@
         rows = self.known.endpoints.of_service(SERVICE, self.core.clock())
         return {row.record.id for row in rows}
 
-    def find_reused(self, left: set[EndpointId]) -> set[EndpointId]:
+    def find_reused(self, leaving: set[EndpointId]) -> set[EndpointId]:
         """Return leaving endpoints that are usable again after they were dropped."""
         usable = self.usable()
-        self.known_leaving |= (left & self.ever_used) - usable
+        self.known_leaving |= (leaving & self.ever_used) - usable
         self.ever_used |= usable
         return self.known_leaving & usable
 
