--- a/chutelink/entry/app.py
+++ b/chutelink/entry/app.py
@@ -47,13 +47,14 @@
 LOAD_REPORT_PERIOD_S = 0.2
 """Interval of load reports to other daemons, which bounds how stale routing data is."""
 CACHED_ADDRESS_FACTOR = 3
-"""Some callers cache a directory response for three times its validity."""
+"""Some callers cache a directory response for this many times its validity."""
 SHUTDOWN_MARGIN_S = 0.8
 """Part of the grace period that is reserved for shutting down."""
 DRAIN_POLL_S = 0.05
 REFUSE_WAITING_LEAD_S = 0.5
 """Time before the drain deadline at which requests waiting for a model are refused."""
 CACHE_TIME_MARGIN = 1.1
+"""Factor by which draining waits longer than callers cache addresses."""
 QUARANTINE_WAIT_S = 1.5
 """Time after a start for which readiness waits for the quarantine table.
 
--- a/chutelink/entry/endpoints.py
+++ b/chutelink/entry/endpoints.py
@@ -99,12 +99,14 @@
         self.other_reading_s = 0.0
         self.other_by_ref: Counter[ModelRef] = Counter()
         self.closing: frozenset[ModelName] = frozenset()
+        """Models that this daemon, as the placer, is unloading there."""
         self.lapsed_until_s: float | None = None
+        """When it is removed unless it registers again; None while registered."""
         self.limit = LimitState()
         self.paused_until_s = float("-inf")
         """End of the pause that it requested from this daemon."""
         self.unconfirmed_until_s = float("-inf")
-        """Until when its row may belong to an ended process and is yet to lapse."""
+        """End of the period in which its row may be left over from an ended process."""
         self.is_leaving = False
         """Whether it announced its shutdown, in a response or in a registration."""
 
--- a/chutelink/entry/load_tracker.py
+++ b/chutelink/entry/load_tracker.py
@@ -12,7 +12,7 @@
 from .messages import EndpointLoad, LeavingEndpoint, LoadReport, ModelUsage, StreamCount
 
 RETURN_DELAY_MARGIN_S = 0.3
-"""How much later than they are told callers retry, as they connect and send."""
+"""Allowance for the time that callers take to connect and send a retry."""
 MAX_PREFIXES = 64
 """Maximum number of prompts in one message."""
 
--- a/chutelink/entry/message_router.py
+++ b/chutelink/entry/message_router.py
@@ -146,7 +146,7 @@
         if isinstance(message, StoreUpdate):
             self.watch.apply_update(message, origin)
         elif isinstance(message, SnapshotRequest):
-            self.watch.take_request(message)
+            self.watch.handle_snapshot_request(message)
         elif isinstance(message, LoadReport):
             self._handle_load(message)
         elif isinstance(message, PromptNotice):
--- a/chutelink/watching/storeclock.py
+++ b/chutelink/watching/storeclock.py
@@ -17,7 +17,7 @@
 
 
 class StoreClock:
-    """Bounds the offset of the store's clock, using this daemon's own calls.
+    """Bounds the offset of the store's clock, using the times of this daemon's calls.
 
     The offset (store time minus local time) is at least the time in an answer minus
     the local time of its arrival, and at most the time in the answer minus the local
--- a/chutelink/watching/watch.py
+++ b/chutelink/watching/watch.py
@@ -261,7 +261,7 @@
             self.on_restored(copy.name, set(copy.rows))
         self._notify_rows(state, changed, update.answered_s, source, is_restored)
 
-    def take_request(self, request: SnapshotRequest) -> None:
+    def handle_snapshot_request(self, request: SnapshotRequest) -> None:
         """Send the full table to a daemon that can't reach the store."""
         state = self._tables.get(request.table)
         now_s = self._core.clock()
--- a/tests/watching/test_watch.py
+++ b/tests/watching/test_watch.py
@@ -196,7 +196,7 @@
     isolated.watch._record_failure(isolated.state, caught.value)
     request = isolated.sent[0]
     assert request == SnapshotRequest("t", "d1")
-    reader.watch.take_request(request)
+    reader.watch.handle_snapshot_request(request)
     isolated.watch.apply_update(reader.sent[0], "d2")
     assert isolated.rows == [("t/a", 1)]
     assert isolated.watch.has_read("t")
--- a/tests/watching/watching_fleet.py
+++ b/tests/watching/watching_fleet.py
@@ -286,14 +286,14 @@
             if peer is not self:
                 self._fleet.deliver(self, peer.name, message)
 
-    def take(
+    def receive(
         self, message: StoreUpdate | SnapshotRequest | None, source: DaemonId
     ) -> None:
         self.isolation.note_message(self.core.clock())
         if message is None:
             return
         if isinstance(message, SnapshotRequest):
-            self.watch.take_request(message)
+            self.watch.handle_snapshot_request(message)
         else:
             self.watch.apply_update(message, source)
 
@@ -346,7 +346,7 @@
             self._link_free_s.get(link, 0.0), loop.time() + LINK_DELAY_S + delay_s
         )
         self._link_free_s[link] = at_s
-        loop.call_at(at_s, target.take, message, sender.name)
+        loop.call_at(at_s, target.receive, message, sender.name)
 
     def bound_violations(self) -> list[tuple[DaemonId, EndpointId, float]]:
         """Return healthy daemons that still use endpoints beyond the bound.
