--- a/tests/watching/watching_fleet.py
+++ b/tests/watching/watching_fleet.py
@@ -286,14 +286,14 @@
             if peer is not self:
                 self._fleet.deliver(self, peer.name, message)
 
-    def take(
+    def receive(
         self, message: StoreUpdate | SnapshotRequest | None, source: DaemonId
     ) -> None:
         self.isolation.note_message(self.core.clock())
         if message is None:
             return
         if isinstance(message, SnapshotRequest):
-            self.watch.take_request(message)
+            self.watch.handle_snapshot_request(message)
         else:
             self.watch.apply_update(message, source)
 
@@ -302,10 +302,10 @@
         rows = self.known.endpoints.of_service(SERVICE, self.core.clock())
         return {row.record.id for row in rows}
 
-    def find_reused(self, left: set[EndpointId]) -> set[EndpointId]:
+    def find_reused(self, leaving: set[EndpointId]) -> set[EndpointId]:
         """Return leaving endpoints that are usable again after they were dropped."""
         usable = self.usable()
-        self.known_leaving |= (left & self.ever_used) - usable
+        self.known_leaving |= (leaving & self.ever_used) - usable
         self.ever_used |= usable
         return self.known_leaving & usable
 
@@ -346,7 +346,7 @@
             self._link_free_s.get(link, 0.0), loop.time() + LINK_DELAY_S + delay_s
         )
         self._link_free_s[link] = at_s
-        loop.call_at(at_s, target.take, message, sender.name)
+        loop.call_at(at_s, target.receive, message, sender.name)
 
     def bound_violations(self) -> list[tuple[DaemonId, EndpointId, float]]:
         """Return healthy daemons that still use endpoints beyond the bound.
